--- a/packages/lanedock/lanedock/quarantine/__init__.py
+++ b/packages/lanedock/lanedock/quarantine/__init__.py
@@ -1,5 +1,5 @@
 # SPDX-License-Identifier: BSD-3-Clause
-"""Requests that crash the upstreams that run them: how they are told apart, and kept away."""
+"""Quarantine of requests that crash upstreams."""
 
 from lanedock.quarantine.core import MAX_CRASHES, MAX_CRASHES_KEPT, SUSPECT_PAUSE, Quarantine
 from lanedock.quarantine.fingerprint import BODY_LIMIT, Fingerprint, RequestHasher
--- a/packages/lanedock/lanedock/quarantine/core.py
+++ b/packages/lanedock/lanedock/quarantine/core.py
@@ -1,14 +1,14 @@
 # SPDX-License-Identifier: BSD-3-Clause
-"""Which requests are suspected of crashing upstreams, and which are kept away from them.
+"""Requests that are suspected of crashing upstreams, and the quarantine that blocks them.
 
-Each upstream's daemon reports what ran on its application when that ended without notice:
-one suspicion for each request and crash. All daemons hold all suspicions. A suspicion is
-made once and cleared at most once, when the request is served somewhere, and a cleared one
-stays cleared, so they may be merged in any order, by any way, more than once (a two-phase
-set; Shapiro et al., "Conflict-free Replicated Data Types", 2011).
+When an application crashes, its daemon reports the requests that ran on it: one suspicion
+for each request and crash. All daemons hold all suspicions. A suspicion is created once and
+cleared at most once, when the request is served somewhere, and it stays cleared. Suspicions
+can therefore be merged in any order and repeatedly (a two-phase set; Shapiro et al.,
+"Conflict-free Replicated Data Types", 2011).
 
-Known as "query of death" from large services, and as poison messages, which queues set
-aside after so many deliveries.
+Such a request is known as a "query of death", or in message queues as a poison message,
+which is set aside after a number of deliveries.
 """
 
 from collections.abc import Iterable
@@ -19,25 +19,25 @@
 
 __all__ = ["MAX_CRASHES", "MAX_CRASHES_KEPT", "SUSPECT_PAUSE", "Quarantine"]
 
-# Upstreams that have to end under a request before it is quarantined. By chance a request
-# is beside two crashes, when its retry follows that of the one that causes them; hardly
-# ever beside three and is served nowhere in between.
+# Crashes under a request after which it is quarantined. An innocent request may run beside two
+# crashes by chance, if its retry goes to the same upstream as the retry of the request that
+# causes them, but hardly ever beside three without being served in between.
 MAX_CRASHES = 3
-# Seconds for which a request isn't passed on after the crash before the last. Where nothing
-# but chance led to it, its caller retries; where it causes them, the upstreams that have
-# ended are back and warm by then (4 and 3 s as deployed) and the mesh is whole for the last.
-# One such request that nothing held back ended five of six upstreams within 0.5 s.
+# Seconds for which a request is blocked after `MAX_CRASHES` - 1 crashes. An innocent request is
+# retried by its caller. If the request causes the crashes, the crashed upstreams are back and
+# warm by then (restart 4 s, warm-up 3 s), so all upstreams are available at the last crash.
+# Without this pause one request can crash five of six upstreams within 0.5 s.
 SUSPECT_PAUSE = 10.0
-# Seconds for which a request is quarantined, and for which a suspicion counts. Each trial
-# after it costs an upstream, so they are rare; a release that cures it is out by then.
+# Seconds for which a request is quarantined and a suspicion counts. Long, because the trial that
+# follows may crash an upstream; a release with a fix is usually deployed by then.
 QUARANTINE_TIME = 600.0
-# Requests that are held, and crashes of each: 0.5 MB at the most.
+# Upper bounds of the suspected requests and of the crashes of each: 0.5 MB at most.
 MAX_SUSPECTS = 512
 MAX_CRASHES_KEPT = 8
 
 
 class _Suspect:
-    """A request with the crashes that it ran beside; True for those it was cleared of."""
+    """A request and the crashes that it is suspected of, each with whether it was cleared."""
 
     __slots__ = ("crashes", "expires_at", "fingerprint")
 
@@ -47,18 +47,18 @@
         self.expires_at = expires_at
 
     def uncleared(self) -> list[str]:
-        """Return the crashes that it was not cleared of, the first first."""
+        """Return the crashes that it was not cleared of, in order of arrival."""
         return [crash for crash, is_cleared in self.crashes.items() if not is_cleared]
 
     def count(self) -> int:
-        """Return how many crashes it was not cleared of."""
+        """Return the number of crashes that it was not cleared of."""
         return len(self.uncleared())
 
     def is_quarantined(self) -> bool:
         return self.count() >= MAX_CRASHES
 
-    def held_until(self) -> float:
-        """Return until when it isn't passed on."""
+    def blocked_until(self) -> float:
+        """Return the monotonic time, in seconds, until which the request is blocked."""
         count = self.count()
         if count >= MAX_CRASHES:
             return self.expires_at
@@ -67,7 +67,7 @@
         return float("-inf")
 
     def make_room(self) -> bool:
-        """Make room for a crash: by one that it was cleared of, the first; returns whether there is."""
+        """Remove the first cleared crash if the list is full; return whether there is room for another."""
         if len(self.crashes) < MAX_CRASHES_KEPT:
             return True
         cleared = next((crash for crash, is_cleared in self.crashes.items() if is_cleared), None)
@@ -77,18 +77,21 @@
         return True
 
     def begin_trial(self) -> None:
-        """Forget the first crashes, so that one more is enough."""
+        """Drop the first crashes, so that one more crash quarantines the request again."""
         for crash in self.uncleared()[: 1 - MAX_CRASHES]:
             del self.crashes[crash]
 
 
 class Quarantine:
-    """All suspicions that a process knows of. Pure; times are monotonic, in seconds."""
+    """All suspicions that a process knows of.
+
+    Does no I/O and reads no clock; times are monotonic, in seconds.
+    """
 
     def __init__(self):
         self._suspects: dict[bytes, _Suspect] = {}
-        # Kept up to date with each change: every request is looked up here.
-        self._held_until: dict[bytes, float] = {}
+        # Precomputed at each change, because every request is looked up here.
+        self._blocked_until: dict[bytes, float] = {}
         self._heads: frozenset[bytes] = frozenset()
         self._next_expiry = float("inf")
         self._outboxes: list[SuspicionOutbox] = []
@@ -98,11 +101,11 @@
 
     @property
     def size(self) -> int:
-        """Requests that are held, cleared ones too."""
+        """Number of suspected requests, including cleared ones."""
         return len(self._suspects)
 
     def add_outbox(self) -> SuspicionOutbox:
-        """Return what gathers all news from now on."""
+        """Return a new outbox that collects all changes from now on."""
         outbox = SuspicionOutbox()
         self._outboxes.append(outbox)
         return outbox
@@ -110,64 +113,64 @@
     # ------------------------------------------------------------------ inputs
 
     def note_crash(self, crash: str, fingerprints: list[Fingerprint], now: float) -> list[Fingerprint]:
-        """Suspect all requests that ran on an application when it ended.
+        """Suspect all requests that ran on an application when it crashed.
 
         Parameters
         ----------
         crash : str
-            Unique in the mesh.
+            Identifier of the crash, unique in the mesh.
         fingerprints : list of Fingerprint
         now : float
 
         Returns
         -------
         list of Fingerprint
-            Those that are quarantined from now on.
+            Requests that this crash puts into quarantine.
         """
-        fresh = []
+        newly_quarantined = []
         for fingerprint in fingerprints:
             before = self.count(fingerprint)
-            self._put(fingerprint, crash, False, now + QUARANTINE_TIME, None)
+            self._add_suspicion(fingerprint, crash, False, now + QUARANTINE_TIME, None)
             if before < MAX_CRASHES <= self.count(fingerprint):
-                fresh.append(fingerprint)
-        self._make_room()
-        return fresh
+                newly_quarantined.append(fingerprint)
+        self._evict_surplus()
+        return newly_quarantined
 
     def clear(self, fingerprint: Fingerprint) -> bool:
-        """Clear a request of all crashes so far: it was served, or an operator has decided so.
+        """Clear a request of all crashes so far, because it was served or by an operator's order.
 
         Returns
         -------
         bool
-            Whether it was suspected.
+            Whether the request was suspected.
         """
         suspect = self._suspects.get(fingerprint.whole)
         crashes = suspect.uncleared() if suspect is not None else []
         for crash in crashes:
-            self._set(suspect, crash, True, None)
+            self._set_suspicion(suspect, crash, True, None)
         if crashes:
             self._refresh()
         return bool(crashes)
 
     def merge(self, suspicions: list[messages.Suspicion], now: float, origin: SuspicionOutbox | None = None) -> None:
-        """Take over another process's suspicions.
+        """Merge another process's suspicions into this quarantine.
 
         Parameters
         ----------
         suspicions : list of Suspicion
         now : float
         origin : SuspicionOutbox, optional
-            Of the neighbour that has sent them, which needs them no more.
+            Outbox of the neighbour that sent them; they are not sent back to it.
         """
         if not suspicions:
-            return  # as with nearly all reports
+            return  # the usual case
         for item in suspicions:
             expires_at = now + QUARANTINE_TIME - item.age_ms / 1000
             if expires_at > now:
-                self._put(Fingerprint(item.head, item.whole), item.crash, item.cleared, expires_at, origin)
-        self._make_room()
+                self._add_suspicion(Fingerprint(item.head, item.whole), item.crash, item.cleared, expires_at, origin)
+        self._evict_surplus()
 
-    def _put(
+    def _add_suspicion(
         self, fingerprint: Fingerprint, crash: str, is_cleared: bool, expires_at: float, origin: SuspicionOutbox | None
     ) -> None:
         suspect = self._suspects.get(fingerprint.whole)
@@ -178,16 +181,16 @@
             return
         if known is None or (is_cleared and not known):
             suspect.expires_at = max(suspect.expires_at, expires_at)
-            self._set(suspect, crash, is_cleared, origin)
+            self._set_suspicion(suspect, crash, is_cleared, origin)
 
-    def _set(self, suspect: _Suspect, crash: str, is_cleared: bool, origin: SuspicionOutbox | None) -> None:
+    def _set_suspicion(self, suspect: _Suspect, crash: str, is_cleared: bool, origin: SuspicionOutbox | None) -> None:
         suspect.crashes[crash] = is_cleared
         for outbox in self._outboxes:
             if outbox is not origin:
                 outbox.put(suspect.fingerprint.whole, crash)
 
-    def _make_room(self) -> None:
-        """Let go of what matters least: the cleared, then the fewest crashes, then the oldest."""
+    def _evict_surplus(self) -> None:
+        """Evict surplus requests: cleared ones first, then by fewest crashes, then the oldest."""
         surplus = len(self._suspects) - MAX_SUSPECTS
         if surplus > 0:
             ranked = sorted(self._suspects.values(), key=lambda item: (item.count(), item.expires_at))
@@ -196,14 +199,17 @@
         self._refresh()
 
     def _refresh(self) -> None:
-        """Find out anew which requests are held back."""
-        held = [item for item in self._suspects.values() if item.count() >= MAX_CRASHES - 1]
-        self._held_until = {item.fingerprint.whole: item.held_until() for item in held}
-        self._heads = frozenset(item.fingerprint.head for item in held)
+        """Recompute which requests are blocked."""
+        blocked = [item for item in self._suspects.values() if item.count() >= MAX_CRASHES - 1]
+        self._blocked_until = {item.fingerprint.whole: item.blocked_until() for item in blocked}
+        self._heads = frozenset(item.fingerprint.head for item in blocked)
         self._next_expiry = min((item.expires_at for item in self._suspects.values()), default=float("inf"))
 
     def expire(self, now: float) -> None:
-        """Let go of old suspicions; what was quarantined may be tried, and one more crash is enough."""
+        """Drop expired suspicions.
+
+        A request whose quarantine expires gets a trial: one more crash quarantines it again.
+        """
         if now < self._next_expiry:
             return
         for whole, suspect in list(self._suspects.items()):
@@ -219,23 +225,23 @@
     # ----------------------------------------------------------------- outputs
 
     def count(self, fingerprint: Fingerprint) -> int:
-        """Return how many crashes a request is suspected of."""
+        """Return the number of crashes that a request is suspected of."""
         return len(self.crashes(fingerprint))
 
     def time_left(self, fingerprint: Fingerprint, now: float) -> float:
-        """Return for how long a request may not be passed on, in seconds; 0 where it may."""
-        return max(0.0, self._held_until.get(fingerprint.whole, now) - now)
+        """Return for how long a request is still blocked, in seconds; 0 if it isn't."""
+        return max(0.0, self._blocked_until.get(fingerprint.whole, now) - now)
 
     def has_head(self, head: bytes) -> bool:
-        """Tell whether a request with this head may be one that isn't passed on: its body will show."""
+        """Return whether a request with this head may be blocked, depending on its body."""
         return head in self._heads
 
     def quarantined(self) -> list[Fingerprint]:
-        """Return the requests that are kept away until an operator clears them or their time is over."""
+        """Return the requests in quarantine, blocked until an operator clears them or it expires."""
         return [item.fingerprint for item in self._suspects.values() if item.is_quarantined()]
 
     def find(self, whole: bytes) -> Fingerprint | None:
-        """Return the fingerprint of a suspected request by its digest."""
+        """Return the fingerprint of the suspected request with this digest, or None."""
         suspect = self._suspects.get(whole)
         return suspect.fingerprint if suspect is not None else None
 
@@ -245,7 +251,7 @@
         return suspect.uncleared() if suspect is not None else []
 
     def take_news(self, outbox: SuspicionOutbox, now: float) -> list[messages.Suspicion]:
-        """Return what a neighbour has not been sent yet."""
+        """Return the changed suspicions that a neighbour has not been sent yet."""
         news = []
         for whole, crash in outbox.take():
             suspect = self._suspects.get(whole)
@@ -258,7 +264,7 @@
         return _make_messages(self._suspects.values(), now)
 
     def missed_by(self, suspicions: list[messages.Suspicion], now: float) -> list[messages.Suspicion]:
-        """Return which of a neighbour's suspicions were cleared here, as it has to learn."""
+        """Return the suspicions that are cleared here but not yet in a neighbour's list."""
         missed = []
         for item in suspicions:
             suspect = self._suspects.get(item.whole)
@@ -267,9 +273,9 @@
         return missed
 
     def held_news(self, now: float) -> list[messages.Suspicion]:
-        """Return the suspicions of requests that are not passed on now; hardly ever any."""
-        held = [whole for whole, until in self._held_until.items() if until > now]
-        return _make_messages([self._suspects[whole] for whole in held], now)
+        """Return the suspicions of the requests that are blocked now, usually none."""
+        blocked = [whole for whole, until in self._blocked_until.items() if until > now]
+        return _make_messages([self._suspects[whole] for whole in blocked], now)
 
 
 def _make_messages(suspects: Iterable[_Suspect], now: float) -> list[messages.Suspicion]:
--- a/packages/lanedock/lanedock/quarantine/fingerprint.py
+++ b/packages/lanedock/lanedock/quarantine/fingerprint.py
@@ -1,29 +1,29 @@
 # SPDX-License-Identifier: BSD-3-Clause
-"""What makes two requests the same one, whoever sends them again and wherever."""
+"""Fingerprints that identify a request, independently of who sends it and where."""
 
 from hashlib import blake2b
 
 __all__ = ["BODY_LIMIT", "Fingerprint", "RequestHasher"]
 
-# Bytes of a digest: two requests of a mesh never share one by chance, and none can be
-# made to share another's (2^64 tries for any pair).
+# Length of a digest, in bytes. Two requests don't share one by chance, and nobody can construct
+# a request with the digest of another (finding any colliding pair takes 2^64 tries).
 _DIGEST_BYTES = 16
-# Keeps these digests apart from those that others make of the same bytes (RFC 7693).
-_PURPOSE = b"lanedock-request"
-# Bytes of a body that count. All of them have to be held before a request that may be
-# quarantined is passed on, so this bounds that memory; nearly all uploads are shorter.
+# BLAKE2 personalization (RFC 7693): keeps these digests distinct from other uses of the hash.
+_PERSONALIZATION = b"lanedock-request"
+# Leading bytes of a body that are hashed. They are buffered before a request that may be
+# quarantined is passed on, so this bounds that memory. Nearly all uploads are shorter.
 BODY_LIMIT = 512 * 1024
 
 
 class Fingerprint:
-    """The identity of a request. Never changed once made.
+    """The identity of a request. Immutable.
 
     Parameters
     ----------
     head : bytes
         Digest of method, host, target and customer.
     whole : bytes
-        Digest of the body, too; the same as `head` where there is none.
+        Digest of these and of the body; equal to `head` if there is no body.
     """
 
     __slots__ = ("head", "whole")
@@ -48,45 +48,47 @@
 
 
 class RequestHasher:
-    """Makes a request's fingerprint as its body goes by, in pieces of any length.
+    """Incremental hasher of a request, which takes the body in pieces of any length.
 
     Parameters
     ----------
     method, host, target : str
-        Target with its query.
+        Request line and host; the target includes the query.
     customer : str
-        What the caller identifies itself by; empty where it doesn't.
+        Identifier that the caller presents; empty if it presents none.
     length : int, optional
-        Of the body, in bytes; left out where its end alone shows it.
+        Length of the body, in bytes; left out if it is not known in advance.
 
     Attributes
     ----------
     head : bytes
-        Of the fingerprint.
+        Digest of the head, see `Fingerprint`.
     """
 
-    __slots__ = ("_left", "_state", "head")
+    __slots__ = ("_bytes_left", "_hash", "head")
 
     def __init__(self, method: str, host: str, target: str, customer: str, length: int | None = None):
-        # Heads hold no NUL (RFC 9110, 5.5), so no two lists of fields read the same.
+        # Heads contain no NUL (RFC 9110, 5.5), so the joined fields are unambiguous.
         fields = "\0".join((method, host.lower(), target, customer))
-        self._state = blake2b(fields.encode("utf-8", "surrogateescape"), digest_size=_DIGEST_BYTES, person=_PURPOSE)
-        self._left = BODY_LIMIT if length is None else min(length, BODY_LIMIT)
-        self.head = self._state.digest()
+        self._hash = blake2b(
+            fields.encode("utf-8", "surrogateescape"), digest_size=_DIGEST_BYTES, person=_PERSONALIZATION
+        )
+        self._bytes_left = BODY_LIMIT if length is None else min(length, BODY_LIMIT)
+        self.head = self._hash.digest()
 
     @property
     def is_complete(self) -> bool:
-        """Whether all that counts of the request was added."""
-        return self._left <= 0
+        """Whether all bytes that are hashed were added."""
+        return self._bytes_left <= 0
 
     def update(self, piece: bytes) -> None:
-        """Add the next piece of the body; an empty one is its end."""
+        """Add the next piece of the body; an empty piece marks its end."""
         if not piece:
-            self._left = 0
-        elif self._left > 0:
-            self._state.update(piece[: self._left])
-            self._left -= len(piece)
+            self._bytes_left = 0
+        elif self._bytes_left > 0:
+            self._hash.update(piece[: self._bytes_left])
+            self._bytes_left -= len(piece)
 
     def fingerprint(self) -> Fingerprint:
-        """Return the fingerprint by all that was added so far."""
-        return Fingerprint(self.head, self._state.digest())
+        """Return the fingerprint of the bytes added so far."""
+        return Fingerprint(self.head, self._hash.digest())
--- a/packages/lanedock/lanedock/quarantine/outbox.py
+++ b/packages/lanedock/lanedock/quarantine/outbox.py
@@ -1,11 +1,11 @@
 # SPDX-License-Identifier: BSD-3-Clause
-"""News of suspicions on their way to one neighbour, or to all of one kind."""
+"""Changed suspicions that are to be sent to a neighbour, or to all neighbours of one kind."""
 
 __all__ = ["SuspicionOutbox"]
 
 
 class SuspicionOutbox:
-    """Suspicions that a neighbour has not been sent yet, by request and crash."""
+    """Keys (request digest and crash) of the suspicions that a neighbour has not been sent yet."""
 
     __slots__ = ("_keys",)
 
@@ -19,10 +19,10 @@
         return bool(self._keys)
 
     def put(self, whole: bytes, crash: str) -> None:
-        """Note that a suspicion has changed."""
+        """Add a suspicion that has changed."""
         self._keys[whole, crash] = None
 
     def take(self) -> list[tuple[bytes, str]]:
-        """Return what has changed since the last call."""
+        """Return the keys of the suspicions that have changed since the last call, and clear the outbox."""
         keys, self._keys = list(self._keys), {}
         return keys
--- a/packages/lanedock/lanedock/quarantine/runs.py
+++ b/packages/lanedock/lanedock/quarantine/runs.py
@@ -1,18 +1,17 @@
 # SPDX-License-Identifier: BSD-3-Clause
-"""What runs on an application, and what was running when it ended."""
+"""Requests that run on an application, and those that ran when it crashed."""
 
 from lanedock.quarantine.fingerprint import RequestHasher
 
 __all__ = ["Run", "RunRegistry"]
 
-# Seconds for which a run whose connection broke is a suspect, should its application turn
-# out to have ended: where that isn't seen at once, its next start shows it, and an
-# application is back within this time or not soon.
-LOST_KEPT = 10.0
-# Seconds for which a run that nobody waits for any more is one: an application that
-# minds that its caller has gone has dropped it by then.
-ABANDONED_KEPT = 0.5
-# Runs that have ended and are kept; more than an application has slots.
+# Seconds for which a run whose connection broke remains a suspect. A crash that is not noticed at
+# once is noticed by the application's next start, which follows within this time or much later.
+LOST_SUSPECT_TIME = 10.0
+# Seconds for which a run whose caller has gone remains a suspect. An application that reacts to a
+# closed connection has cancelled the run by then.
+ABANDONED_SUSPECT_TIME = 0.5
+# Upper bound of the ended runs that are stored; more than an application has slots.
 MAX_ENDED = 256
 
 
@@ -22,29 +21,32 @@
     Parameters
     ----------
     hasher : RequestHasher
-        Has what was passed on of the body.
+        Hasher of the request, to which the part of the body that was passed on was added.
 
     Attributes
     ----------
-    kept_until : float
-        Monotonic, seconds: until when it is a suspect, once it has ended.
+    suspect_until : float
+        Monotonic time, in seconds, until which it is a suspect after it has ended.
     is_lost : bool
-        Whether its connection broke before its answer was whole.
+        Whether its connection broke before its answer was complete.
     crash : str
-        The application's end that it is suspected of; empty for none.
+        Crash of the application that it is suspected of; empty if there is none.
     """
 
-    __slots__ = ("crash", "hasher", "is_lost", "kept_until")
+    __slots__ = ("crash", "hasher", "is_lost", "suspect_until")
 
     def __init__(self, hasher: RequestHasher):
         self.hasher = hasher
-        self.kept_until = float("inf")
+        self.suspect_until = float("inf")
         self.is_lost = False
         self.crash = ""
 
 
 class RunRegistry:
-    """The runs on one application. Pure; times are monotonic, in seconds."""
+    """The runs on one application.
+
+    Does no I/O and reads no clock; times are monotonic, in seconds.
+    """
 
     def __init__(self):
         self._running: dict[Run, None] = {}
@@ -54,30 +56,30 @@
         return f"<RunRegistry running={len(self._running)} ended={len(self._ended)}>"
 
     def begin(self, hasher: RequestHasher) -> Run:
-        """Note that a request is passed on."""
+        """Record that a request is passed on."""
         run = Run(hasher)
         self._running[run] = None
         return run
 
     def end(self, run: Run) -> None:
-        """Note that a run was answered, or refused by the application, which then has not ended of it."""
+        """Record that the application answered or refused a run, which therefore did not crash it."""
         self._running.pop(run, None)
 
     def abandon(self, run: Run, is_lost: bool, now: float) -> None:
-        """Note that no answer will come of a run.
+        """Record that a run ends without an answer.
 
         Parameters
         ----------
         run : Run
         is_lost : bool
-            Whether its connection broke; otherwise nobody waits for it any more.
+            Whether its connection broke; otherwise its caller has gone.
         now : float
         """
         if run not in self._running:
             return
         del self._running[run]
         run.is_lost = is_lost
-        run.kept_until = now + (LOST_KEPT if is_lost else ABANDONED_KEPT)
+        run.suspect_until = now + (LOST_SUSPECT_TIME if is_lost else ABANDONED_SUSPECT_TIME)
         if run.crash:
             return
         self._ended[run] = None
@@ -85,17 +87,19 @@
             del self._ended[next(iter(self._ended))]
 
     def take_suspects(self, now: float, has_restarted: bool) -> list[Run]:
-        """Return what ran on an application when it ended; each run once, whose `crash` is to be set.
+        """Return the runs that were on the application when it crashed.
+
+        The caller sets their `crash`, so that no run is returned for two crashes.
 
         Parameters
         ----------
         now : float
         has_restarted : bool
-            Whether that was noticed by its next start only, on which other requests
-            may run already.
+            Whether the crash was noticed only by the application's next start, on which
+            other requests may already run.
         """
         ended, self._ended = self._ended, {}
-        runs = [run for run in ended if now <= run.kept_until and (run.is_lost or not has_restarted)]
+        runs = [run for run in ended if now <= run.suspect_until and (run.is_lost or not has_restarted)]
         if not has_restarted:
             runs += self._running
         return runs
--- a/packages/lanedock/lanedock/quarantine/tests/test_runs.py
+++ b/packages/lanedock/lanedock/quarantine/tests/test_runs.py
@@ -1,11 +1,11 @@
 # SPDX-License-Identifier: BSD-3-Clause
-"""Tests of what is taken to have run on an application when it ended, and of fingerprints."""
+"""Tests of the runs that are suspected of a crash, of fingerprints and of recently served requests."""
 
 import pytest
 
 from lanedock.quarantine import BODY_LIMIT, RecentlyServed, RequestHasher, RunRegistry
-from lanedock.quarantine.runs import ABANDONED_KEPT, LOST_KEPT
-from lanedock.quarantine.served import MAX_SERVED, SERVED_KEPT
+from lanedock.quarantine.runs import ABANDONED_SUSPECT_TIME, LOST_SUSPECT_TIME
+from lanedock.quarantine.served import MAX_SERVED, SERVED_RETENTION
 
 
 def _hasher(target: str = "/x", body: bytes = b"", customer: str = "") -> RequestHasher:
@@ -15,7 +15,7 @@
     return hasher
 
 
-def test_what_was_in_progress_is_suspected_and_what_was_answered_is_not():
+def test_runs_in_progress_are_suspected_and_answered_runs_are_not():
     runs = RunRegistry()
     answered, lost, running = (runs.begin(_hasher(name)) for name in ("/a", "/b", "/c"))
     runs.end(answered)
@@ -24,20 +24,20 @@
     assert set(suspects) == {lost, running}
     for run in suspects:
         run.crash = "u0"
-    # Its connection is seen to break later: it is suspected of the same end only.
+    # Its connection breaks later; it is still suspected of the first crash only.
     runs.abandon(running, True, 1.1)
     assert runs.take_suspects(1.2, False) == []
 
 
-@pytest.mark.parametrize("is_lost, kept", [(True, LOST_KEPT), (False, ABANDONED_KEPT)])
-def test_what_has_ended_for_its_caller_is_suspected_for_a_while(is_lost, kept):
+@pytest.mark.parametrize("is_lost, kept", [(True, LOST_SUSPECT_TIME), (False, ABANDONED_SUSPECT_TIME)])
+def test_a_run_without_an_answer_is_suspected_for_a_limited_time(is_lost, kept):
     for later, is_suspect in ((kept, True), (kept + 0.1, False)):
         runs = RunRegistry()
         runs.abandon(runs.begin(_hasher()), is_lost, 1.0)
         assert bool(runs.take_suspects(1.0 + later, False)) is is_suspect
 
 
-def test_where_the_next_start_shows_it_only_what_was_lost_is_suspected():
+def test_only_lost_runs_are_suspected_if_the_crash_is_noticed_by_the_next_start():
     runs = RunRegistry()
     lost, abandoned = runs.begin(_hasher("/a")), runs.begin(_hasher("/b"))
     runs.abandon(lost, True, 1.0)
@@ -56,11 +56,11 @@
         _hasher(body=b"1"),
     ],
 )
-def test_requests_that_differ_in_anything_are_told_apart(other):
+def test_requests_that_differ_in_any_field_have_different_fingerprints(other):
     assert other.fingerprint() != _hasher().fingerprint()
 
 
-def test_a_body_counts_whole_in_whatever_pieces_it_comes():
+def test_the_whole_body_is_hashed_independently_of_its_pieces():
     body = bytes(60_000) + b"z"
     pieces = _hasher()
     for start in range(0, len(body), 1000):
@@ -70,23 +70,23 @@
     assert _hasher(body=body).fingerprint().head == _hasher().fingerprint().head
 
 
-def test_of_a_longer_body_the_first_part_counts():
+def test_only_the_first_part_of_a_long_body_is_hashed():
     first = bytes(BODY_LIMIT)
     assert _hasher(body=first + b"a").fingerprint() == _hasher(body=first + b"b").fingerprint()
 
 
-def test_what_was_served_lately_is_known_and_bounded():
+def test_recently_served_requests_are_known_and_their_number_is_bounded():
     served = RecentlyServed()
     first = _hasher("/first").fingerprint()
     served.note(first, 0.0)
-    assert served.has(first, SERVED_KEPT) and not served.has(first, SERVED_KEPT + 0.1)
+    assert served.has(first, SERVED_RETENTION) and not served.has(first, SERVED_RETENTION + 0.1)
     for number in range(MAX_SERVED):
         served.note(_hasher(f"/{number}").fingerprint(), 1.0)
     assert not served.has(first, 1.0)
 
 
 @pytest.mark.parametrize("length, pieces", [(0, []), (3, [b"ab", b"c"]), (None, [b"abc", b""])])
-def test_it_is_complete_with_the_last_piece(length, pieces):
+def test_a_hasher_is_complete_with_the_last_piece(length, pieces):
     hasher = RequestHasher("POST", "shop.example", "/x", "", length)
     for piece in pieces:
         assert not hasher.is_complete
--- a/packages/lanedock/lanedock/routing/balancer.py
+++ b/packages/lanedock/lanedock/routing/balancer.py
@@ -88,12 +88,12 @@
         is_first = not self._upstreams
         upstreams = {}
         for endpoint in endpoints:
-            stats = self._upstreams.get(endpoint.instance)
-            if stats is None or was_restarted(stats.endpoint, endpoint):
-                stats = self._make_stats(endpoint, stats, is_first, now)
-            stats.endpoint = endpoint
-            stats.pool = pools.get(endpoint.instance, Pool.STABLE)
-            upstreams[endpoint.instance] = stats
+            upstream = self._upstreams.get(endpoint.instance)
+            if upstream is None or was_restarted(upstream.endpoint, endpoint):
+                upstream = self._make_stats(endpoint, upstream, is_first, now)
+            upstream.endpoint = endpoint
+            upstream.pool = pools.get(endpoint.instance, Pool.STABLE)
+            upstreams[endpoint.instance] = upstream
         self._upstreams = upstreams
         accepting = [
             stats for stats in upstreams.values() if not (stats.endpoint.leaving or stats.is_application_leaving)
