--- a/packages/lanedock/lanedock/canary/__init__.py
+++ b/packages/lanedock/lanedock/canary/__init__.py
@@ -1,5 +1,5 @@
 # SPDX-License-Identifier: BSD-3-Clause
-"""Canary releases: the traffic of a service moves to a new software version, or back, by evidence."""
+"""Canary releases: moving a service's traffic to a new software version, or back if it is worse."""
 
 from lanedock.canary.analysis import Analysis, CusumAnalysis
 from lanedock.canary.controller import CanaryController, CanaryPolicy, make_step
--- a/packages/lanedock/lanedock/canary/analysis.py
+++ b/packages/lanedock/lanedock/canary/analysis.py
@@ -1,11 +1,11 @@
 # SPDX-License-Identifier: BSD-3-Clause
-"""Whether a canary is worse than the stable version, by what both do at the same time.
+"""Comparison of a canary with the stable version that serves requests at the same time.
 
 Notes
 -----
-A sequence of answers is judged by cumulative sums of log-likelihood ratios, which are reset
-whenever they fall to 0, so that a version that turns bad late is found as quickly as one that
-is bad from its start.
+The sequence of answers is judged by cumulative sums (CUSUM) of log-likelihood ratios. They are
+reset whenever they fall to 0, so that a version that turns bad late is detected as quickly as
+one that is bad from its start.
 
 References
 ----------
@@ -21,64 +21,67 @@
 
 __all__ = ["Analysis", "CusumAnalysis"]
 
-# Log-likelihood ratio from which a version counts as bad: one in a thousand by chance; and
-# for slow answers, which uneven upstreams explain, too, less than one in ten thousand.
-ALARM = log(1000)
+# Log-likelihood ratios from which a version counts as bad. By chance a good version reaches the
+# first one in one of a thousand cases. The second one is higher (less than one in ten thousand),
+# because uneven upstreams cause slow answers, too.
+FAILURE_ALARM = log(1000)
 SLOW_ALARM = log(20_000)
-# Part of it that upstreams other than the worst one have to bring: one bad upstream is no
-# bad version.
-OTHERS_PART = 0.3
-# Share of failures (or of slow answers) above the stable version's that is still good, and
-# the further part of all answers from which a version is bad.
+# Fraction of the threshold that upstreams other than the worst one have to contribute, because
+# one bad upstream does not make a bad version.
+OTHER_UPSTREAMS_FRACTION = 0.3
+# Share of failures (or of slow answers) above the stable version's that is still accepted, and
+# the fraction of all other answers by which a bad version exceeds the accepted share.
 TOLERANCE = 0.02
 EXCESS = 0.15
-# Time in which what is known of the stable version fades to 1/e, in seconds.
+# Time constant, in seconds, in which the stable version's counts decay to 1/e.
 BASELINE_MEMORY = 1.0
-# Part of the stable upstreams, the slowest ones, that say nothing of their version's times, and how
-# many there have to be for that; and answers below which one is forgotten.
-SLOWEST_PART = 0.1
+# Fraction of the stable upstreams, the slowest ones, whose times are left out of the baseline; the
+# number of stable upstreams from which any are left out; and the decayed number of answers below
+# which an upstream's counts are dropped.
+SLOWEST_FRACTION = 0.1
 MIN_SOURCES = 5
-FADED = 0.01
-# Answers of the stable version that give its times a meaning.
+MIN_SOURCE_ANSWERS = 0.01
+# Answers of the stable version that are required to compare times with it.
 MIN_BASELINE = 20
-# Part of the stable version's answers that take longer than what counts as slow; and how many
-# buckets (each 1.4 times the one before) a slow answer lies above that.
-SLOW_PART = 0.1
+# Fraction of the stable version's answers above the reference bucket, and the number of buckets
+# (each 1.4 times the one before) by which a slow answer exceeds that bucket.
+SLOW_FRACTION = 0.1
 SLOW_BUCKETS = 1
-# Least time that counts as slow, in seconds: shorter ones differ by when processes are run.
+# Lower bound of a slow answer's time, in seconds: shorter times vary with process scheduling.
 SLOW_MIN = 0.05
-# Seconds without an answer of the stable version after which nothing shows what the load of
-# the moment does to it, and the further part of answers that makes a version bad then.
-BASELINE_LIFE = 1.0
-EXCESS_ALONE = 0.35
-# Seconds after the canary's first answer in which times don't count: its upstreams are cold.
+# Seconds without an answer of the stable version after which it no longer shows the effect of the
+# current load, and the fraction that replaces `EXCESS` then.
+BASELINE_MAX_AGE = 1.0
+EXCESS_WITHOUT_BASELINE = 0.35
+# Seconds after the canary's first answer in which its times don't count: its upstreams are cold.
 WARM_UP = 3.0
-# Answers that are assumed before any has come, at a failure in fifty.
+# Answers of the stable version that are assumed in addition to the counted ones, and their share
+# of failures or of slow answers (one in fifty).
 PRIOR = 10.0
 PRIOR_SHARE = 0.02
 
 
 class Analysis(ABC):
-    """Judges one canary. Pure: the clock is passed in."""
+    """Base class of analyses that judge one canary. Does no I/O; the time is passed in."""
 
     @abstractmethod
     def note(self, increments: list[Increment], now: float) -> None:
-        """Accept new counts.
+        """Add new counts to the analysis.
 
         Parameters
         ----------
         increments : list of Increment
         now : float
-            Monotonic, seconds.
+            Monotonic time, in seconds.
         """
 
     @abstractmethod
     def finding(self) -> str:
-        """Return what shows that the version is bad, for operators; empty where nothing does."""
+        """Return the evidence that the version is bad, for operators; empty if there is none."""
 
 
 class _Counts:
-    """What one stable upstream does on one route."""
+    """Decaying counts of one stable upstream on one route."""
 
     __slots__ = ("answered", "failed", "times")
 
@@ -87,7 +90,7 @@
         self.failed = 0.0
         self.times = [0.0] * BUCKETS
 
-    def fade(self, factor: float) -> None:
+    def decay(self, factor: float) -> None:
         self.answered *= factor
         self.failed *= factor
         self.times = [count * factor for count in self.times]
@@ -99,16 +102,16 @@
             self.times[bucket] += count
 
     def slowness(self) -> float:
-        """Return the mean bucket of its times."""
+        """Return the mean bucket number of the upstream's answer times."""
         total = sum(self.times)
         return sum(bucket * count for bucket, count in enumerate(self.times)) / total if total else 0.0
 
 
 class _Baseline:
-    """What the stable version does on one route.
+    """Counts of the stable version on one route, by upstream.
 
-    The slowest upstreams say nothing of its times: beside one that is slow for a reason of its
-    own a version that is as slow would not stand out.
+    The slowest upstreams are left out of the times. Otherwise a bad version that is as slow as
+    one faulty stable upstream would not be detected.
     """
 
     __slots__ = ("_sources", "added_at")
@@ -117,81 +120,81 @@
         self.added_at = 0.0
         self._sources: dict[str, _Counts] = {}
 
-    def fade(self, factor: float) -> None:
+    def decay(self, factor: float) -> None:
         for name, counts in list(self._sources.items()):
-            counts.fade(factor)
-            if counts.answered < FADED:
+            counts.decay(factor)
+            if counts.answered < MIN_SOURCE_ANSWERS:
                 del self._sources[name]
 
     def add(self, increment: Increment) -> None:
         self._sources.setdefault(increment.source, _Counts()).add(increment)
 
-    def _times(self) -> list[float]:
-        """Return the times of all upstreams but the slowest, by bucket."""
+    def _sum_times(self) -> list[float]:
+        """Return the number of answers in each time bucket, without the slowest upstreams."""
         sources = sorted(self._sources.values(), key=_Counts.slowness)
         if len(sources) >= MIN_SOURCES:
-            del sources[-ceil(SLOWEST_PART * len(sources)) :]
+            del sources[-ceil(SLOWEST_FRACTION * len(sources)) :]
         return [sum(counts) for counts in zip(*(source.times for source in sources), strict=True)]
 
-    def failing(self) -> float:
-        """Return the share of failures that is still good."""
+    def allowed_failures(self) -> float:
+        """Return the accepted share of failures."""
         failed = sum(counts.failed for counts in self._sources.values())
         answered = sum(counts.answered for counts in self._sources.values())
-        return _bound(failed + PRIOR * PRIOR_SHARE, answered + PRIOR)
+        return _accepted_share(failed + PRIOR * PRIOR_SHARE, answered + PRIOR)
 
-    def slow(self) -> tuple[int, float] | None:
-        """Return the bucket from which an answer is slow, and the share of slow ones that is still good."""
-        times = self._times()
+    def slow_limit(self) -> tuple[int, float] | None:
+        """Return the first bucket of slow answers and their accepted share; None with too few answers."""
+        times = self._sum_times()
         total = sum(times)
         if total < MIN_BASELINE:
             return None
         above, bucket = 0.0, BUCKETS - 1
-        while bucket > 0 and above + times[bucket] <= SLOW_PART * total:
+        while bucket > 0 and above + times[bucket] <= SLOW_FRACTION * total:
             above += times[bucket]
             bucket -= 1
         first = max(time_bucket(SLOW_MIN), min(BUCKETS - 1, bucket + 1 + SLOW_BUCKETS))
-        return first, _bound(sum(times[first:]) + PRIOR * PRIOR_SHARE, total + PRIOR)
+        return first, _accepted_share(sum(times[first:]) + PRIOR * PRIOR_SHARE, total + PRIOR)
 
 
-def _bound(count: float, total: float) -> float:
+def _accepted_share(count: float, total: float) -> float:
     share = count / total
     return min(0.9, share + TOLERANCE + sqrt(share * (1 - share) / total))
 
 
 class _Chart:
-    """A cumulative sum over the answers of all canary upstreams, with the part of each."""
+    """A cumulative sum over the answers of all canary upstreams, and each upstream's contribution."""
 
-    __slots__ = ("_parts", "bad", "seen")
+    __slots__ = ("_contributions", "bad", "seen")
 
     def __init__(self):
-        self._parts: dict[str, float] = {}
+        self._contributions: dict[str, float] = {}
         self.seen = 0
         self.bad = 0
 
     def add(self, upstream: str, good: int, bad: int, allowed: float, excess: float) -> None:
-        excessive = allowed + (1 - allowed) * excess
-        gain = bad * log(excessive / allowed) + good * log((1 - excessive) / (1 - allowed))
-        self._parts[upstream] = self._parts.get(upstream, 0.0) + gain
+        bad_share = allowed + (1 - allowed) * excess
+        gain = bad * log(bad_share / allowed) + good * log((1 - bad_share) / (1 - allowed))
+        self._contributions[upstream] = self._contributions.get(upstream, 0.0) + gain
         self.seen += good + bad
         self.bad += bad
-        if sum(self._parts.values()) <= 0:
-            self._parts = {}
+        if sum(self._contributions.values()) <= 0:
+            self._contributions = {}
             self.seen = self.bad = 0
 
-    def is_alarmed(self, alarm: float, is_alone: bool) -> bool:
-        total = sum(self._parts.values())
+    def exceeds(self, alarm: float, has_one_upstream: bool) -> bool:
+        total = sum(self._contributions.values())
         if total < alarm:
             return False
-        return is_alone or total - max(self._parts.values()) >= OTHERS_PART * alarm
+        return has_one_upstream or total - max(self._contributions.values()) >= OTHER_UPSTREAMS_FRACTION * alarm
 
 
 class CusumAnalysis(Analysis):
-    """Compares failures, and answers that are slow, with the stable version's, route by route."""
+    """Compares the shares of failures and of slow answers with the stable version's, by route."""
 
     def __init__(self):
         self._baselines: dict[str, _Baseline] = {}
-        self._failing: dict[str, _Chart] = {}
-        self._slow: dict[str, _Chart] = {}
+        self._failure_charts: dict[str, _Chart] = {}
+        self._slow_charts: dict[str, _Chart] = {}
         self._upstreams: set[str] = set()
         self._first_at: float | None = None
         self._noted_at: float | None = None
@@ -204,10 +207,10 @@
         self._noted_at = now
         factor = max(0.0, 1 - elapsed / BASELINE_MEMORY)
         stable = [increment for increment in increments if not increment.upstream and increment.answered]
-        # Without new answers what is known stays as it is: all traffic may be the canary's.
+        # A route without new stable answers does not decay, because the canary may get all requests.
         for route in {increment.route for increment in stable}:
             baseline = self._baselines.setdefault(route, _Baseline())
-            baseline.fade(factor)
+            baseline.decay(factor)
             baseline.added_at = now
         for increment in stable:
             self._baselines[increment.route].add(increment)
@@ -219,24 +222,29 @@
         baseline = self._baselines.setdefault(increment.route, _Baseline())
         upstream, route = increment.upstream, increment.route
         good = increment.answered - increment.failed
-        chart = self._failing.setdefault(route, _Chart())
-        excess = EXCESS if now - baseline.added_at <= BASELINE_LIFE else EXCESS_ALONE
-        chart.add(upstream, good, increment.failed, baseline.failing(), excess)
+        chart = self._failure_charts.setdefault(route, _Chart())
+        excess = EXCESS if now - baseline.added_at <= BASELINE_MAX_AGE else EXCESS_WITHOUT_BASELINE
+        chart.add(upstream, good, increment.failed, baseline.allowed_failures(), excess)
         self._upstreams.add(upstream)
         if self._first_at is None:
             self._first_at = now
         if now - self._first_at < WARM_UP:
             return
-        slow = baseline.slow()
-        if slow is not None:
-            first, allowed = slow
-            late = sum(increment.times[first:])
-            self._slow.setdefault(route, _Chart()).add(upstream, sum(increment.times) - late, late, allowed, excess)
+        slow_limit = baseline.slow_limit()
+        if slow_limit is not None:
+            first, allowed = slow_limit
+            slow = sum(increment.times[first:])
+            self._slow_charts.setdefault(route, _Chart()).add(
+                upstream, sum(increment.times) - slow, slow, allowed, excess
+            )
 
     def finding(self) -> str:
-        is_alone = len(self._upstreams) == 1
-        for what, charts, alarm in (("failed", self._failing, ALARM), ("were slow", self._slow, SLOW_ALARM)):
+        has_one_upstream = len(self._upstreams) == 1
+        for verb, charts, alarm in (
+            ("failed", self._failure_charts, FAILURE_ALARM),
+            ("were slow", self._slow_charts, SLOW_ALARM),
+        ):
             for route, chart in charts.items():
-                if chart.is_alarmed(alarm, is_alone):
-                    return f"{chart.bad} of {chart.seen} answers of {route} {what}"
+                if chart.exceeds(alarm, has_one_upstream):
+                    return f"{chart.bad} of {chart.seen} answers of {route} {verb}"
         return ""
--- a/packages/lanedock/lanedock/canary/controller.py
+++ b/packages/lanedock/lanedock/canary/controller.py
@@ -1,9 +1,10 @@
 # SPDX-License-Identifier: BSD-3-Clause
-"""The leader's decisions on the canaries that run: their share, their end, and why.
+"""The leader's decisions on running canaries: their share of requests, their end, and the reasons.
 
-A canary begins with a small share and is judged all the time. Late enough that a version
-which turns bad after some seconds is found, and early enough for the move itself, a short
-ramp shows it all of the load. It is completed once every daemon sends it everything.
+A canary starts with a small share (the trial) and is judged continuously. Then a short ramp
+raises its share to all requests. The ramp starts late enough to detect a version that turns bad
+after some seconds, and early enough to finish in time. The canary is completed after every
+daemon has confirmed that it sends all requests to it.
 """
 
 from lanedock.canary.analysis import Analysis, CusumAnalysis
@@ -14,45 +15,46 @@
 
 __all__ = ["CanaryController", "CanaryPolicy"]
 
-# Parts of a canary's duration: from when its share may grow, from when it grows although the
-# ramp may cost a bad version more requests than it is allowed, and by when it is decided.
-RAMP_AT = 0.5
-RAMP_ANYWAY_AT = 0.65
-DECIDE_BY = 0.85
-# Part of the allowed share that the trial takes; the rest is for the ramp.
-TRIAL_PART = 0.8
-# Share while the trial has taken more than it may, and share of the ramp, in thousandths.
-LOW_SHARE = 20
+# Fractions of a canary's duration: from when the ramp may start, from when it starts even if a bad
+# version would get more requests than allowed, and until when the ramp has to be finished.
+RAMP_START = 0.5
+RAMP_START_OVER_BUDGET = 0.65
+RAMP_DEADLINE = 0.85
+# Fraction of the allowed share that the trial uses; the rest is for the ramp.
+TRIAL_FRACTION = 0.8
+# Share while the trial is over its budget, and share of the ramp, in thousandths.
+REDUCED_SHARE = 20
 RAMP_SHARE = 300
-# Seconds after which the trial goes on with other upstreams of the canary.
-ROTATE_AFTER = 1.0
-# Seconds for which the ramp, and then all of the load, are watched.
-RAMP_FOR = 0.8
-FULL_FOR = 0.8
-# Seconds after which requests in progress at stable upstreams are waited for no more.
-DRAIN_LIMIT = 2.0
-# Answers of a canary without which it isn't promoted.
+# Seconds after which the trial continues with other upstreams of the canary.
+ROTATION_INTERVAL = 1.0
+# Seconds for which the canary is observed at the share of the ramp, and then at the full share.
+RAMP_DURATION = 0.8
+FULL_SHARE_DURATION = 0.8
+# Upper bound of the time, in seconds, to wait for requests in progress at stable upstreams.
+DRAIN_TIMEOUT = 2.0
+# Answers of a canary that are required before its ramp.
 MIN_ANSWERS = 20
-# Part of the stable version's slots that the canary's have to have, and that they need late.
-CAPACITY_PART = 0.9
-CAPACITY_PART_LATE = 0.6
-# Seconds between two looks at the evidence.
-LOOK_INTERVAL = 0.1
-# Seconds after which a proposal that was not applied is made again.
-PROPOSE_AGAIN = 0.5
-# Part of the time that is left in which requests are counted on to come, for the allowance.
-EXPECTED_PART = 0.7
+# Slots that the canary needs before its ramp, as a fraction of the stable version's, and the
+# lower fraction that is enough from `RAMP_START_OVER_BUDGET` on.
+CAPACITY_FRACTION = 0.9
+CAPACITY_FRACTION_LATE = 0.6
+# Seconds between two evaluations of the evidence.
+EVALUATION_INTERVAL = 0.1
+# Seconds after which a step that was not applied is proposed again.
+PROPOSAL_TIMEOUT = 0.5
+# Fraction of the remaining time whose expected requests count towards the allowed number.
+EXPECTED_FRACTION = 0.7
 
 
 class CanaryPolicy:
-    """What a bad version may get before it is found.
+    """Limit of the requests that a bad version may get before it is detected.
 
     Parameters
     ----------
     share : float
-        Of the requests of its service, 0 to 1.
+        Share of the service's requests, 0 to 1.
     slack : int
-        Requests beyond that.
+        Number of requests allowed in addition to that share.
     """
 
     __slots__ = ("share", "slack")
@@ -66,12 +68,12 @@
 
     @property
     def trial_share(self) -> int:
-        """Share of the trial, in thousandths."""
-        return max(1, int(FULL_SHARE * self.share * TRIAL_PART))
+        """Share of requests in the trial, in thousandths."""
+        return max(1, int(FULL_SHARE * self.share * TRIAL_FRACTION))
 
 
-class _Run:
-    """What the leader knows of one canary that runs."""
+class _CanaryRun:
+    """The leader's state of one running canary."""
 
     __slots__ = (
         "analysis",
@@ -101,7 +103,7 @@
         self.waits_for = ""
 
     def note_step(self, record: messages.CanaryRecord, revision: int, now: float) -> None:
-        """Note which step is in force."""
+        """Record which step is in force."""
         if record.step != self.step:
             self.step = record.step
             self.step_at = now
@@ -109,13 +111,13 @@
             self.confirmed_at = None
 
     def rate(self, now: float) -> float:
-        """Return the service's answered requests a second."""
+        """Return the service's answered requests per second."""
         answered = self.evidence.stable.answered + self.evidence.canary.answered
         return answered / max(1.0, now - self.begun_at)
 
 
 class _Capacity:
-    """Slots of a service's upstreams by their part in its traffic, and what displaces what."""
+    """Slots of a service's stable and canary upstreams, and the versions that the canary displaces."""
 
     __slots__ = ("canary", "is_busy", "stable", "versions")
 
@@ -144,28 +146,28 @@
 
 
 class CanaryController:
-    """Decides on the canaries that run. Pure; a new leader begins a new one.
+    """Decides on the steps of running canaries. Does no I/O; each new leader creates its own.
 
     Parameters
     ----------
     state : CanaryState
     policy : CanaryPolicy
     make_analysis : callable, optional
-        Makes the analysis of one canary.
+        Called without arguments for each canary; returns an `Analysis`.
     """
 
     def __init__(self, state: CanaryState, policy: CanaryPolicy, make_analysis=CusumAnalysis):
         self._state = state
         self._policy = policy
         self._make_analysis = make_analysis
-        self._runs: dict[int, _Run] = {}
-        self._look_at = 0.0
+        self._runs: dict[int, _CanaryRun] = {}
+        self._next_evaluation_at = 0.0
 
     def __repr__(self) -> str:
         return f"<CanaryController runs={sorted(self._runs)}>"
 
     def set_state(self, state: CanaryState) -> None:
-        """Replace the state: a snapshot may have taken its place."""
+        """Replace the state, for instance after it was restored from a snapshot."""
         self._state = state
 
     def decide(
@@ -180,41 +182,41 @@
         Parameters
         ----------
         daemons : dict of str to DaemonState
-            Those that are connected.
+            States of the connected daemons.
         endpoints : list of Endpoint
-            Of all services.
+            Endpoints of all services.
         now, wall : float
-            Monotonic and wall clock, seconds.
+            Monotonic and wall-clock time, in seconds.
         """
         running = self._state.running()
-        if not running or now < self._look_at:
-            self._forget(running)
+        if not running or now < self._next_evaluation_at:
+            self._drop_ended(running)
             return []
-        self._look_at = now + LOOK_INTERVAL
+        self._next_evaluation_at = now + EVALUATION_INTERVAL
         commands = []
         for record in running:
-            step = self._look(record, daemons, endpoints, now, wall)
+            step = self._evaluate(record, daemons, endpoints, now, wall)
             if step is not None:
                 step.decided_at = wall
                 commands.append(messages.Command(canary_step=step))
         return commands
 
-    def _forget(self, running: list[messages.CanaryRecord]) -> None:
+    def _drop_ended(self, running: list[messages.CanaryRecord]) -> None:
         numbers = {record.number for record in running}
         if self._runs.keys() - numbers:
             self._runs = {number: run for number, run in self._runs.items() if number in numbers}
 
-    def _look(self, record, daemons: dict, endpoints: list, now: float, wall: float) -> messages.CanaryStep | None:
+    def _evaluate(self, record, daemons: dict, endpoints: list, now: float, wall: float) -> messages.CanaryStep | None:
         run = self._runs.get(record.number)
         if run is None:
-            # A leader that takes over has the wall clock alone to tell how long it has run.
+            # Only the wall clock tells a new leader for how long the canary has been running.
             age = min(max(0.0, wall - record.started_at), record.duration_ms / 1000)
-            run = self._runs[record.number] = _Run(record, self._make_analysis(), now - age)
+            run = self._runs[record.number] = _CanaryRun(record, self._make_analysis(), now - age)
         run.note_step(record, self._state.revision, now)
         run.analysis.note(run.evidence.take(daemons), now)
         if run.confirmed_at is None and all(state.canary_revision >= run.revision for state in daemons.values()):
             run.confirmed_at = now
-        if run.proposed > record.step and now - run.proposed_at < PROPOSE_AGAIN:
+        if run.proposed > record.step and now - run.proposed_at < PROPOSAL_TIMEOUT:
             return None
         capacity = _Capacity(self._state.rule(record.service), endpoints, daemons)
         step = self._judge(record, run, capacity, now)
@@ -222,21 +224,21 @@
             run.proposed, run.proposed_at = step.step, now
         return step
 
-    def _judge(self, record, run: _Run, capacity: _Capacity, now: float) -> messages.CanaryStep | None:
+    def _judge(self, record, run: _CanaryRun, capacity: _Capacity, now: float) -> messages.CanaryStep | None:
         finding = run.analysis.finding()
         if finding:
             return make_step(record, messages.CANARY_ROLLED_BACK, 0, finding)
-        part = 1000 * (now - run.begun_at) / record.duration_ms
+        elapsed_fraction = 1000 * (now - run.begun_at) / record.duration_ms
         if record.share_permille >= FULL_SHARE:
-            return self._judge_full(record, run, capacity, part, now)
-        if part >= DECIDE_BY:
+            return self._judge_full(record, run, capacity, elapsed_fraction, now)
+        if elapsed_fraction >= RAMP_DEADLINE:
             reason = f"no proof in time that it is good: {run.waits_for}"
             return make_step(record, messages.CANARY_ROLLED_BACK, 0, reason)
         if record.share_permille >= RAMP_SHARE:
             return self._judge_ramp(record, run, now)
-        return self._judge_trial(record, run, capacity, part, now)
+        return self._judge_trial(record, run, capacity, elapsed_fraction, now)
 
-    def _judge_trial(self, record, run: _Run, capacity: _Capacity, part: float, now: float):
+    def _judge_trial(self, record, run: _CanaryRun, capacity: _Capacity, elapsed_fraction: float, now: float):
         running = messages.CANARY_RUNNING
         if not capacity.canary:
             run.waits_for = "no upstream of the version takes work"
@@ -244,67 +246,67 @@
         share = self._policy.trial_share
         if not record.step:
             return make_step(record, running, share, "trial")
-        run.waits_for = self._blocker(run, capacity, part, now)
+        run.waits_for = self._find_obstacle(run, capacity, elapsed_fraction, now)
         if not run.waits_for:
             return make_step(record, running, RAMP_SHARE, "ramp")
-        if now - run.step_at < ROTATE_AFTER:
+        if now - run.step_at < ROTATION_INTERVAL:
             return None
-        if self._is_over(run):
-            share = min(share, LOW_SHARE)
+        if self._is_over_budget(run):
+            share = min(share, REDUCED_SHARE)
         return make_step(record, running, share, "trial")
 
-    def _blocker(self, run: _Run, capacity: _Capacity, part: float, now: float) -> str:
-        """Return what stands against showing the canary more load; empty where nothing does."""
-        if part < RAMP_AT:
+    def _find_obstacle(self, run: _CanaryRun, capacity: _Capacity, elapsed_fraction: float, now: float) -> str:
+        """Return the reason why the ramp can't start yet; empty if it can."""
+        if elapsed_fraction < RAMP_START:
             return "trial"
         if run.evidence.canary.answered < MIN_ANSWERS:
             return f"{run.evidence.canary.answered} answers of {MIN_ANSWERS}"
-        is_late = part >= RAMP_ANYWAY_AT
-        needed = (CAPACITY_PART_LATE if is_late else CAPACITY_PART) * capacity.stable
+        is_late = elapsed_fraction >= RAMP_START_OVER_BUDGET
+        needed = (CAPACITY_FRACTION_LATE if is_late else CAPACITY_FRACTION) * capacity.stable
         if capacity.canary < needed:
             return f"{capacity.canary} slots of {needed:.0f}"
-        if not is_late and not self._may_ramp(run, part, now):
+        if not is_late and not self._ramp_fits_budget(run, elapsed_fraction, now):
             return "the ramp would cost more requests than a bad version may get"
         return ""
 
-    def _is_over(self, run: _Run) -> bool:
-        """Tell whether the trial has taken more than its part of the requests."""
+    def _is_over_budget(self, run: _CanaryRun) -> bool:
+        """Return whether the trial has got more requests than its budget."""
         seen = run.evidence.stable.answered + run.evidence.canary.sent
         return run.evidence.canary.sent > self._policy.share * seen + self._policy.slack / 2
 
-    def _may_ramp(self, run: _Run, part: float, now: float) -> bool:
+    def _ramp_fits_budget(self, run: _CanaryRun, elapsed_fraction: float, now: float) -> bool:
         rate = run.rate(now)
         elapsed = now - run.begun_at
-        left = elapsed / part - elapsed
+        remaining = elapsed / elapsed_fraction - elapsed
         seen = run.evidence.stable.answered + run.evidence.canary.sent
-        allowed = self._policy.share * (seen + EXPECTED_PART * left * rate) + self._policy.slack
-        ramp = rate * (RAMP_FOR * RAMP_SHARE / FULL_SHARE + FULL_FOR)
-        return run.evidence.canary.sent + ramp <= allowed
+        allowed = self._policy.share * (seen + EXPECTED_FRACTION * remaining * rate) + self._policy.slack
+        ramp_requests = rate * (RAMP_DURATION * RAMP_SHARE / FULL_SHARE + FULL_SHARE_DURATION)
+        return run.evidence.canary.sent + ramp_requests <= allowed
 
-    def _judge_ramp(self, record, run: _Run, now: float):
+    def _judge_ramp(self, record, run: _CanaryRun, now: float):
         run.waits_for = "ramp"
-        if run.confirmed_at is None or now - run.step_at < RAMP_FOR:
+        if run.confirmed_at is None or now - run.step_at < RAMP_DURATION:
             return None
         return make_step(record, messages.CANARY_RUNNING, FULL_SHARE, "all of the load")
 
-    def _judge_full(self, record, run: _Run, capacity: _Capacity, part: float, now: float):
+    def _judge_full(self, record, run: _CanaryRun, capacity: _Capacity, elapsed_fraction: float, now: float):
         if run.confirmed_at is None:
             run.waits_for = "daemons that have not confirmed"
-        elif now - run.confirmed_at < FULL_FOR:
+        elif now - run.confirmed_at < FULL_SHARE_DURATION:
             run.waits_for = "watching all of the load"
-        elif capacity.is_busy and now - run.confirmed_at < DRAIN_LIMIT:
+        elif capacity.is_busy and now - run.confirmed_at < DRAIN_TIMEOUT:
             run.waits_for = "requests in progress at stable upstreams"
         else:
             answered = run.evidence.canary.answered
             step = make_step(record, messages.CANARY_COMPLETED, FULL_SHARE, f"as good in {answered} answers")
             step.displaced.extend(sorted(capacity.versions))
             return step
-        if part < 1:
+        if elapsed_fraction < 1:
             return None
         return make_step(record, messages.CANARY_ROLLED_BACK, 0, f"not moved in time: {run.waits_for}")
 
     def progress(self, record: messages.CanaryRecord, now: float) -> messages.CanaryProgress:
-        """Return how far a canary is, for operators."""
+        """Return the progress of a canary, for operators."""
         progress = messages.CanaryProgress(record=record)
         run = self._runs.get(record.number)
         if run is None:
@@ -321,7 +323,7 @@
 
 
 def make_step(record: messages.CanaryRecord, phase: int, share: int, reason: str) -> messages.CanaryStep:
-    """Make the step that follows the one in force."""
+    """Return the step that follows the one in force; `share` is in thousandths."""
     return messages.CanaryStep(
         service=record.service,
         number=record.number,
--- a/packages/lanedock/lanedock/canary/counts.py
+++ b/packages/lanedock/lanedock/canary/counts.py
@@ -1,5 +1,5 @@
 # SPDX-License-Identifier: BSD-3-Clause
-"""What one daemon has seen of the requests of services that have a canary."""
+"""Counts of one daemon's requests to services that have a running canary."""
 
 from math import log2
 
@@ -7,20 +7,21 @@
 
 __all__ = ["BUCKETS", "BUCKET_RATIO", "CanaryCounter", "time_bucket"]
 
-# Lower end of the second bucket of times, in seconds, and the ratio of each to the next.
-_LEAST_TIME = 0.002
+# Lower bound of the second time bucket, in seconds; the ratio of the bounds of successive
+# buckets; and the number of buckets.
+_FIRST_BOUND = 0.002
 BUCKET_RATIO = 2**0.5
 BUCKETS = 26
-# Routes of a service that are counted apart; those seen later are counted together.
+# Routes of a service that are counted separately; further routes are counted together.
 MAX_ROUTES = 24
 OTHER_ROUTES = "*"
 
 
 def time_bucket(seconds: float) -> int:
-    """Return the number of the bucket that a time falls into."""
-    if seconds < _LEAST_TIME:
+    """Return the number of the bucket that contains a time."""
+    if seconds < _FIRST_BOUND:
         return 0
-    return min(BUCKETS - 1, 1 + int(2 * log2(seconds / _LEAST_TIME)))
+    return min(BUCKETS - 1, 1 + int(2 * log2(seconds / _FIRST_BOUND)))
 
 
 class _Row:
@@ -34,7 +35,10 @@
 
 
 class CanaryCounter:
-    """Counts since the start of each service's canary; cumulative, so that no report can be counted twice."""
+    """Counts of requests since the start of each service's canary.
+
+    The counts are cumulative, so that no report can be counted twice.
+    """
 
     def __init__(self):
         self._numbers: dict[str, int] = {}
@@ -45,7 +49,7 @@
         return f"<CanaryCounter services={sorted(self._numbers)}>"
 
     def follow(self, plan: messages.CanaryPlan) -> None:
-        """Count for the canaries that run; those of canaries that have ended are let go."""
+        """Count for the canaries of a plan, and drop the counts of canaries that have ended."""
         numbers = {rule.service: rule.number for rule in plan.rules if rule.canary}
         for service in list(self._rows):
             if numbers.get(service) != self._numbers.get(service):
@@ -54,17 +58,17 @@
         self._numbers = numbers
 
     def is_counting(self, service: str) -> bool:
-        """Tell whether a canary of a service runs."""
+        """Return whether a canary of a service is running."""
         return service in self._numbers
 
     def note_sent(self, service: str, route: str, canary: str) -> None:
-        """Note that a request is sent: to a canary upstream by its id, or, with an empty one, to a stable one."""
+        """Count a request that is sent to a canary upstream, or to a stable one if `canary` is empty."""
         row = self._find(service, route, canary)
         if row is not None:
             row.sent += 1
 
     def note_answer(self, service: str, route: str, canary: str, failed: bool, taken: float) -> None:
-        """Note an answer, or that none had come after `taken` seconds."""
+        """Count an answer after `taken` seconds, or a request that got none within that time."""
         row = self._find(service, route, canary)
         if row is None:
             return
@@ -87,7 +91,7 @@
         return row
 
     def take_changed(self) -> list[messages.CanaryCounts] | None:
-        """Return all counts where they have changed since the last call, else None."""
+        """Return all counts if any has changed since the last call, else None."""
         if not self._is_changed:
             return None
         self._is_changed = False
--- a/packages/lanedock/lanedock/canary/evidence.py
+++ b/packages/lanedock/lanedock/canary/evidence.py
@@ -1,7 +1,7 @@
 # SPDX-License-Identifier: BSD-3-Clause
-"""What all daemons together have seen of a canary and of the stable version, gathered by the leader.
+"""Counts of all daemons for a canary and for the stable version, collected by the leader.
 
-Daemons report cumulative counts, so reports that are lost, repeated or reordered change nothing.
+Daemons report cumulative counts, so lost, repeated or reordered reports do not distort the sums.
 """
 
 from lanedock.canary.counts import BUCKETS
@@ -11,21 +11,21 @@
 
 
 class Increment:
-    """What is new of one route's requests to one upstream.
+    """Increase of the counts of one route's requests to one upstream.
 
     Parameters
     ----------
     route : str
     upstream : str
-        The canary's instance; empty for a stable one.
+        Instance of the canary upstream; empty for a stable one.
 
     Attributes
     ----------
     source : str
-        Daemon that has counted it: that of the upstream.
+        Daemon that has counted the requests: the daemon of the upstream.
     sent, answered, failed : int
     times : list of int
-        Answers that did not fail, by bucket of their time.
+        Number of answers that did not fail in each time bucket.
     """
 
     __slots__ = ("answered", "failed", "route", "sent", "source", "times", "upstream")
@@ -43,7 +43,7 @@
         return f"<Increment {self.route} {self.upstream or 'stable'} answered={self.answered} failed={self.failed}>"
 
     def add(self, counts: messages.CanaryCounts, former: messages.CanaryCounts | None) -> None:
-        """Add what a daemon's counts have grown by."""
+        """Add the difference between a daemon's counts and its former ones."""
         self.sent += counts.sent - (former.sent if former else 0)
         self.answered += counts.answered - (former.answered if former else 0)
         self.failed += counts.failed - (former.failed if former else 0)
@@ -65,7 +65,7 @@
         return f"<Totals sent={self.sent} answered={self.answered} failed={self.failed}>"
 
     def add(self, increment: Increment) -> None:
-        """Add an increment."""
+        """Add an increment to the sums."""
         self.sent += increment.sent
         self.answered += increment.answered
         self.failed += increment.failed
@@ -77,11 +77,12 @@
     Parameters
     ----------
     number : int
-        The canary's.
+        Number of the canary.
 
     Attributes
     ----------
     stable, canary : Totals
+        Sums of the stable version and of the canary.
     """
 
     def __init__(self, number: int):
@@ -94,12 +95,12 @@
         return f"<Evidence of {self._number}: stable={self.stable!r} canary={self.canary!r}>"
 
     def take(self, daemons: dict[str, messages.DaemonState]) -> list[Increment]:
-        """Return what has grown since the last call.
+        """Return the increments since the last call, and add them to the sums.
 
         Parameters
         ----------
         daemons : dict of str to DaemonState
-            The freshest state of each daemon.
+            Latest known state of each daemon.
         """
         increments: list[Increment] = []
         for name, state in daemons.items():
@@ -122,7 +123,7 @@
             if former is not None and former.sent == counts.sent and former.answered == counts.answered:
                 continue
             if former is not None and (former.sent > counts.sent or former.answered > counts.answered):
-                # A state older than the one that is known.
+                # The report is older than the one that was taken last.
                 continue
             increment = Increment(*key)
             increment.source = name
--- a/packages/lanedock/lanedock/canary/pools.py
+++ b/packages/lanedock/lanedock/canary/pools.py
@@ -1,5 +1,5 @@
 # SPDX-License-Identifier: BSD-3-Clause
-"""Which upstreams a request of a service may go to, by their software versions."""
+"""Assignment of upstreams and requests to the stable and the canary pool of a service."""
 
 import hashlib
 from enum import Enum
@@ -14,7 +14,7 @@
 
 
 class Pool(Enum):
-    """The part that an upstream has in its service's traffic."""
+    """The part of its service's traffic that an upstream serves; `WITHHELD` upstreams get none."""
 
     STABLE = "stable"
     CANARY = "canary"
@@ -22,10 +22,10 @@
 
 
 def classify(rule: messages.CanaryRule | None, version: str) -> Pool:
-    """Return the pool of an upstream of a version.
+    """Return the pool of an upstream by its software version.
 
-    Without a rule all versions are equal: releases replace one by another. With one, an
-    upstream of which the version isn't known yet gets nothing.
+    Without a rule all versions are treated alike, as in a plain release. With a rule, an
+    upstream whose version is not known yet gets no requests.
     """
     if rule is None:
         return Pool.STABLE
@@ -37,57 +37,58 @@
 
 
 def assign_pools(rule: messages.CanaryRule | None, endpoints: list[messages.Endpoint]) -> dict[str, Pool]:
-    """Return the pool of each upstream of a service; what is left out of it is stable.
+    """Return the pool of each upstream of a service.
 
-    Of the canary's upstreams only as many get requests as then carry what a stable one
-    carries: some faults show under load only. Each step chooses the next ones, the same on
-    all daemons, in each availability zone.
+    Only so many canary upstreams get requests that each has the load of a stable upstream,
+    because some faults appear only under load. Each step selects the next upstreams in each
+    availability zone, the same ones on all daemons.
 
     Parameters
     ----------
     rule : CanaryRule or None
     endpoints : list of Endpoint
-        Of the service.
+        Endpoints of the service.
 
     Returns
     -------
     dict of str to Pool
-        By instance.
+        Pool of each instance; an instance that is left out is in the stable pool.
     """
     if rule is None:
         return {}
     pools = {endpoint.instance: classify(rule, endpoint.version) for endpoint in endpoints}
-    takes = [endpoint for endpoint in endpoints if not endpoint.leaving]
-    for zone in {endpoint.zone for endpoint in takes}:
-        local = [endpoint for endpoint in takes if endpoint.zone == zone]
+    staying = [endpoint for endpoint in endpoints if not endpoint.leaving]
+    for zone in {endpoint.zone for endpoint in staying}:
+        local = [endpoint for endpoint in staying if endpoint.zone == zone]
         canaries = sorted(
-            (endpoint.instance for endpoint in local if pools[endpoint.instance] is Pool.CANARY), key=_rank
+            (endpoint.instance for endpoint in local if pools[endpoint.instance] is Pool.CANARY), key=_hash_instance
         )
         stable = sum(pools[endpoint.instance] is Pool.STABLE for endpoint in local)
-        used = _choose(canaries, max(1, ceil(rule.share_permille * stable / FULL_SHARE)), rule)
+        used = _select_canaries(canaries, max(1, ceil(rule.share_permille * stable / FULL_SHARE)), rule)
         for instance in canaries:
             if instance not in used:
                 pools[instance] = Pool.WITHHELD
     return pools
 
 
-def _choose(canaries: list[str], count: int, rule: messages.CanaryRule) -> set[str]:
-    """Return the canary's upstreams of a zone that get requests in a step."""
+def _select_canaries(canaries: list[str], count: int, rule: messages.CanaryRule) -> set[str]:
+    """Return the canary upstreams of a zone that get requests in the rule's step."""
     if count >= len(canaries) or rule.share_permille >= FULL_SHARE:
         return set(canaries)
     first = rule.step * count
     return {canaries[(first + offset) % len(canaries)] for offset in range(count)}
 
 
-def _rank(instance: str) -> bytes:
+def _hash_instance(instance: str) -> bytes:
     return hashlib.sha256(instance.encode()).digest()
 
 
 class CanarySplit:
     """Decides on one daemon which requests go to the canary.
 
-    Shares are kept by counting. Each daemon begins at a random phase, so that many daemons
-    which see few requests each keep the share together: their rounding cancels out.
+    Requests are counted instead of drawn at random, which keeps the share exactly. Each daemon
+    starts at a random phase, so that the rounding errors of many daemons with few requests each
+    cancel out.
 
     Parameters
     ----------
@@ -104,7 +105,7 @@
         return f"<CanarySplit revision={self.plan.revision}>"
 
     def follow(self, plan: messages.CanaryPlan) -> set[str]:
-        """Follow a newer plan; an older one changes nothing.
+        """Adopt a plan if it is newer than the current one.
 
         Returns
         -------
@@ -118,21 +119,21 @@
         return {service for service, rule in self._rules.items() if former.get(service) != rule}
 
     def rule(self, service: str) -> messages.CanaryRule | None:
-        """Return the rule of a service, or None where it never had a canary."""
+        """Return the rule of a service, or None if it never had a canary."""
         return self._rules.get(service)
 
     def running(self, service: str) -> messages.CanaryRule | None:
-        """Return the rule of a service while a canary of it runs."""
+        """Return the rule of a service if it has a running canary, else None."""
         rule = self._rules.get(service)
         return rule if rule is not None and rule.canary else None
 
     def is_whole(self, service: str) -> bool:
-        """Tell whether all requests of a service go to its canary."""
+        """Return whether all requests of a service go to its canary."""
         rule = self.running(service)
         return rule is not None and rule.share_permille >= FULL_SHARE
 
     def take(self, service: str) -> bool:
-        """Tell whether the next request of a service goes to its canary."""
+        """Return whether the next request of a service goes to its canary, and count it."""
         rule = self._rules.get(service)
         if rule is None or not rule.share_permille:
             return False
--- a/packages/lanedock/lanedock/canary/state.py
+++ b/packages/lanedock/lanedock/canary/state.py
@@ -1,8 +1,8 @@
 # SPDX-License-Identifier: BSD-3-Clause
-"""The replicated state of canary releases: which there were, and the rules that daemons follow.
+"""The replicated state of canary releases: their records, and the rules that daemons follow.
 
-An entry is judged when it is applied. A step names the canary and the step before it, so
-that one which was decided on by a leader of the past changes nothing.
+Starts and steps are validated when they are applied. A step carries the number of its canary
+and its own number, so that a step which a former leader has decided on is ignored.
 """
 
 from enum import Enum
@@ -12,19 +12,19 @@
 
 __all__ = ["RESEND_WINDOW", "CanaryState", "StartResult", "StartVerdict"]
 
-# Seconds for which an order like the last one is taken for that one, sent again: an operator
-# who got no answer resends for a few seconds.
+# Lower bound of the time, in seconds, in which a start with the same values as the newest canary's
+# counts as resent: an operator who gets no answer sends it again for a few seconds.
 RESEND_WINDOW = 10.0
-# Canaries that are remembered, for operators.
+# Upper bound of the canary records that are kept for operators.
 MAX_RECORDS = 200
-# Versions that are withheld in one service; the oldest are forgotten first.
+# Upper bound of the withheld versions of one service; the oldest are dropped first.
 MAX_WITHHELD = 32
-# All of a service's requests, in thousandths.
+# Share of all of a service's requests, in thousandths.
 FULL_SHARE = 1000
 
 
 class StartVerdict(Enum):
-    """What a start came to."""
+    """Result of an order to start a canary."""
 
     STARTED = "started"
     KNOWN = "known"
@@ -36,13 +36,13 @@
 
 
 class StartResult:
-    """The verdict on a start.
+    """The verdict on an order to start a canary.
 
     Parameters
     ----------
     verdict : StartVerdict
     record : CanaryRecord
-        The new canary, or the one that stands against it.
+        The new canary, or the existing one that caused the verdict.
     """
 
     __slots__ = ("record", "verdict")
@@ -53,7 +53,7 @@
 
     @property
     def code(self) -> ErrorCode | None:
-        """Why it was refused; None where it stands."""
+        """Error code of a refusal; None if the start was accepted."""
         return _CODES.get(self.verdict)
 
     def __repr__(self) -> str:
@@ -61,14 +61,14 @@
 
 
 class CanaryState:
-    """All canaries that are remembered, and the rules of the services that had one.
+    """Records of the latest canaries, and the rules of all services that had one.
 
     Attributes
     ----------
     revision : int
-        Grows with every change.
+        Number of changes so far.
     records : list of CanaryRecord
-        The oldest first.
+        Records of canaries, the oldest first.
     """
 
     def __init__(self):
@@ -83,7 +83,7 @@
     # ----------------------------------------------------------------- outputs
 
     def newest(self, service: str) -> messages.CanaryRecord | None:
-        """Return the newest canary of a service, or None where it never had one."""
+        """Return the newest canary of a service, or None if none is recorded."""
         return next((record for record in reversed(self.records) if record.service == service), None)
 
     def running(self) -> list[messages.CanaryRecord]:
@@ -91,16 +91,16 @@
         return [record for record in self.records if record.phase == messages.CANARY_RUNNING]
 
     def rule(self, service: str) -> messages.CanaryRule | None:
-        """Return the rule of a service, or None where it never had a canary."""
+        """Return the rule of a service, or None if it never had a canary."""
         return self._rules.get(service)
 
     def plan(self) -> messages.CanaryPlan:
-        """Return what daemons follow."""
+        """Return the plan that daemons follow: the rules of all services."""
         rules = [self._rules[service] for service in sorted(self._rules)]
         return messages.CanaryPlan(revision=self.revision, rules=rules)
 
     def judge(self, start: messages.CanaryStart) -> StartResult:
-        """Tell what a start would come to now; the record of one that would begin has no number."""
+        """Return the result that a start would have now; the record of a new canary has no number yet."""
         newest = self.newest(start.service)
         if newest is not None:
             if _is_resent(start, newest):
@@ -124,7 +124,7 @@
     # ------------------------------------------------------------------ inputs
 
     def start(self, start: messages.CanaryStart) -> StartResult:
-        """Apply a committed start."""
+        """Apply a committed start of a canary."""
         result = self.judge(start)
         if result.verdict is not StartVerdict.STARTED:
             return result
@@ -138,7 +138,7 @@
         return result
 
     def step(self, step: messages.CanaryStep) -> bool:
-        """Apply a committed step; False where it was decided on another state than this."""
+        """Apply a committed step; return False if it does not follow the current state."""
         record = self.newest(step.service)
         if record is None or record.number != step.number or record.phase != messages.CANARY_RUNNING:
             return False
@@ -153,11 +153,11 @@
         canary = record.version
         if step.phase == messages.CANARY_ROLLED_BACK:
             record.share_permille = 0
-            withheld, canary = _add(withheld, [record.version]), ""
+            withheld, canary = _add_withheld(withheld, [record.version]), ""
         elif step.phase == messages.CANARY_COMPLETED:
             record.share_permille = FULL_SHARE
             displaced = [version for version in step.displaced if version != record.version]
-            withheld, canary = _add(withheld, displaced), ""
+            withheld, canary = _add_withheld(withheld, displaced), ""
         self._set_rule(record, canary, withheld)
         return True
 
@@ -175,7 +175,7 @@
     # --------------------------------------------------------------- snapshots
 
     def fill_snapshot(self, snapshot: messages.StateSnapshot) -> None:
-        """Put the whole state into a snapshot."""
+        """Write the state into a snapshot."""
         snapshot.canary_revision = self.revision
         snapshot.canary_count = self._count
         snapshot.canaries.extend(self.records)
@@ -183,7 +183,7 @@
 
     @classmethod
     def restore(cls, snapshot: messages.StateSnapshot) -> "CanaryState":
-        """Make the state that a snapshot holds."""
+        """Return the state that a snapshot contains."""
         state = cls()
         state.revision = snapshot.canary_revision
         state._count = snapshot.canary_count
@@ -193,9 +193,9 @@
 
 
 def _is_resent(start: messages.CanaryStart, newest: messages.CanaryRecord) -> bool:
-    """Tell whether a start is the order of the newest canary, sent again.
+    """Return whether a start is the order of the newest canary, sent again.
 
-    One that was rolled back may be ordered anew once the time that it had is over.
+    A version that was rolled back may be started again after the duration of its canary.
     """
     if (start.version, start.duration_ms) != (newest.version, newest.duration_ms):
         return False
@@ -203,6 +203,6 @@
     return newest.phase != messages.CANARY_ROLLED_BACK or start.started_at < newest.started_at + window
 
 
-def _add(withheld: list[str], versions: list[str]) -> list[str]:
+def _add_withheld(withheld: list[str], versions: list[str]) -> list[str]:
     added = [version for version in versions if version not in withheld]
     return [*withheld, *added][-MAX_WITHHELD:]
--- a/packages/lanedock/lanedock/canary/tests/test_analysis.py
+++ b/packages/lanedock/lanedock/canary/tests/test_analysis.py
@@ -1,5 +1,5 @@
 # SPDX-License-Identifier: BSD-3-Clause
-"""The judgement of a canary by what daemons have seen."""
+"""Tests of the analysis that compares a canary with the stable version."""
 
 import random
 
@@ -9,11 +9,11 @@
 from lanedock.canary.counts import time_bucket
 from lanedock.canary.evidence import Increment
 
-LOOK = 0.1
+EVALUATION_INTERVAL = 0.1
 
 
 class _Stream:
-    """Requests of both versions, at rates and with outcomes that are given."""
+    """Simulated answers of both versions with given rates and outcomes."""
 
     def __init__(self, seed: int):
         self.rng = random.Random(seed)
@@ -21,10 +21,10 @@
         self.now = 0.0
 
     def play(self, seconds: float, failing: dict[str, float], stable=0.004, slow=1.0, rate=3) -> str:
-        """Play until something is found; `failing` is by canary upstream."""
+        """Simulate answers until there is a finding; `failing` is the share of failures by canary upstream."""
         until = self.now + seconds
         while self.now < until:
-            self.now += LOOK
+            self.now += EVALUATION_INTERVAL
             increments = [self._make("", 40, stable, 1.0)]
             increments += [self._make(name, rate, share, slow) for name, share in failing.items()]
             self.analysis.note(increments, self.now)
@@ -33,13 +33,13 @@
         return ""
 
     def make_stable(self, source: str, rate: float, slow: float) -> Increment:
-        """Make what is new of one stable upstream, at a rate for each look."""
+        """Make the increment of one stable upstream; `rate` is in requests per evaluation."""
         increment = self.make_at("", rate, slow)
         increment.source = source
         return increment
 
     def make_at(self, upstream: str, rate: float, slow: float) -> Increment:
-        """Make what is new of an upstream at a rate for each look, which needs not be whole."""
+        """Make the increment of an upstream; `rate` is in requests per evaluation and may be fractional."""
         count = int(rate) + (self.rng.random() < rate % 1)
         return self._make(upstream, count, 0.004, slow)
 
@@ -55,18 +55,18 @@
 
 
 @pytest.mark.parametrize("seed", range(5))
-def test_a_good_version_is_left_alone(seed):
+def test_a_good_version_has_no_finding(seed):
     assert _Stream(seed).play(60, {"a": 0.004, "b": 0.004, "c": 0.004}) == ""
 
 
 @pytest.mark.parametrize("seed", range(5))
 @pytest.mark.parametrize("share", [0.1, 0.2, 0.35, 0.5])
-def test_a_version_that_fails_is_found(seed, share):
+def test_a_failing_version_is_detected(seed, share):
     assert "failed" in _Stream(seed).play(20, dict.fromkeys("abc", share))
 
 
 @pytest.mark.parametrize("seed", range(5))
-def test_a_version_that_turns_bad_late_is_found_as_quickly(seed):
+def test_a_version_that_turns_bad_late_is_detected_within_two_seconds(seed):
     stream = _Stream(seed)
     assert stream.play(60, dict.fromkeys("abc", 0.004)) == ""
     begun = stream.now
@@ -75,35 +75,35 @@
 
 
 @pytest.mark.parametrize("seed", range(5))
-def test_a_slow_version_is_found(seed):
+def test_a_slow_version_is_detected(seed):
     assert "slow" in _Stream(seed).play(20, dict.fromkeys("abc", 0.004), slow=4.0)
 
 
 @pytest.mark.parametrize("seed", range(5))
-def test_one_bad_upstream_is_no_bad_version(seed):
+def test_one_bad_upstream_does_not_make_a_bad_version(seed):
     assert _Stream(seed).play(20, {"a": 0.5, "b": 0.004, "c": 0.004}) == ""
 
 
 @pytest.mark.parametrize("seed", range(5))
-def test_a_canary_with_one_upstream_is_judged_by_it(seed):
+def test_a_canary_with_a_single_bad_upstream_is_detected(seed):
     assert _Stream(seed).play(20, {"a": 0.4}, rate=6)
 
 
 @pytest.mark.parametrize("seed", range(5))
-def test_failures_that_hit_both_versions_say_nothing(seed):
+def test_equal_failures_of_both_versions_give_no_finding(seed):
     assert _Stream(seed).play(30, dict.fromkeys("abc", 0.2), stable=0.2) == ""
 
 
 @pytest.mark.parametrize("seed", range(5))
-def test_a_bad_version_is_found_while_both_fail(seed):
+def test_a_version_that_fails_more_often_is_detected_while_both_fail(seed):
     assert _Stream(seed).play(20, dict.fromkeys("abc", 0.5), stable=0.2)
 
 
 def _play_beside_a_slow_stable_upstream(seed: int, slow: float) -> str:
-    """Play a canary at 6 requests a second beside 50 to ten stable upstreams, of which one is three times slower."""
+    """Simulate a canary with 6 requests/s beside ten stable upstreams with 50, one of them three times slower."""
     stream = _Stream(seed)
     while stream.now < 20 and not stream.analysis.finding():
-        stream.now += LOOK
+        stream.now += EVALUATION_INTERVAL
         increments = [stream.make_stable(f"s{number}", 0.5, 1.0 if number else 3.0) for number in range(10)]
         increments += [stream.make_at(name, 0.3, slow) for name in "ab"]
         stream.analysis.note(increments, stream.now)
@@ -111,10 +111,10 @@
 
 
 @pytest.mark.parametrize("seed", range(8))
-def test_a_slow_version_is_found_beside_a_slow_stable_upstream(seed):
+def test_a_slow_version_is_detected_beside_a_slow_stable_upstream(seed):
     assert "slow" in _play_beside_a_slow_stable_upstream(seed, 3.0)
 
 
 @pytest.mark.parametrize("seed", range(8))
-def test_a_good_version_is_left_alone_beside_a_slow_stable_upstream(seed):
+def test_a_good_version_has_no_finding_beside_a_slow_stable_upstream(seed):
     assert _play_beside_a_slow_stable_upstream(seed, 1.0) == ""
--- a/packages/lanedock/lanedock/canary/tests/test_evidence.py
+++ b/packages/lanedock/lanedock/canary/tests/test_evidence.py
@@ -1,5 +1,5 @@
 # SPDX-License-Identifier: BSD-3-Clause
-"""Counts of daemons, and what the leader makes of them."""
+"""Tests of the counts of daemons and of the sums that the leader computes from them."""
 
 import pytest
 
@@ -22,7 +22,7 @@
         return state
 
 
-def test_reports_that_are_repeated_late_or_lost_change_nothing():
+def test_repeated_late_or_lost_reports_do_not_distort_the_sums():
     daemon, evidence = _Daemon(), Evidence(1)
     daemon.counter.note_sent("s", "r", "new1")
     daemon.counter.note_answer("s", "r", "new1", True, 0.1)
@@ -35,14 +35,14 @@
     assert (evidence.canary.sent, evidence.canary.answered, evidence.canary.failed) == (1, 2, 1)
 
 
-def test_a_daemon_that_is_started_anew_counts_from_0():
+def test_counts_of_a_restarted_daemon_start_from_0_and_are_added():
     evidence = Evidence(1)
     for incarnation in (1, 2):
         daemon = _Daemon(incarnation)
         daemon.counter.note_answer("s", "r", "", False, 0.1)
         evidence.take({"d": daemon.state()})
     assert evidence.stable.answered == 2
-    # The state of its former start, late.
+    # A late report from before the restart.
     late = _Daemon(1)
     for _ in range(5):
         late.counter.note_answer("s", "r", "", False, 0.1)
@@ -50,7 +50,7 @@
     assert evidence.stable.answered == 2
 
 
-def test_counts_of_another_canary_are_left_out():
+def test_counts_of_another_canary_are_ignored():
     daemon = _Daemon()
     daemon.counter.note_answer("s", "r", "", False, 0.1)
     evidence = Evidence(2)
@@ -63,7 +63,7 @@
     assert counter.take_changed() is None
 
 
-def test_counts_end_with_the_canary():
+def test_counts_are_dropped_when_the_canary_ends():
     daemon = _Daemon()
     daemon.counter.note_answer("s", "r", "", False, 0.1)
     assert len(daemon.counter.take_changed()) == 1
@@ -82,5 +82,5 @@
 
 
 @pytest.mark.parametrize(("seconds", "bucket"), [(0.0, 0), (0.0019, 0), (0.002, 1), (0.0029, 2), (1e9, BUCKETS - 1)])
-def test_buckets(seconds, bucket):
+def test_a_time_falls_into_the_expected_bucket(seconds, bucket):
     assert time_bucket(seconds) == bucket
--- a/packages/lanedock/lanedock/canary/tests/test_pools.py
+++ b/packages/lanedock/lanedock/canary/tests/test_pools.py
@@ -1,5 +1,5 @@
 # SPDX-License-Identifier: BSD-3-Clause
-"""Which upstreams get what, by their versions."""
+"""Tests of the assignment of upstreams and requests to pools."""
 
 import random
 
@@ -17,12 +17,12 @@
 
 
 def _endpoints(stable: int, canaries: int, zones: int = 3) -> list[messages.Endpoint]:
-    made = []
+    endpoints = []
     for kind, version, count in (("old", "v1", stable), ("new", "v2", canaries)):
         for number in range(count):
             zone = f"z{number % zones}"
-            made.append(messages.Endpoint(instance=f"{kind}{number}", service="s", zone=zone, version=version))
-    return made
+            endpoints.append(messages.Endpoint(instance=f"{kind}{number}", service="s", zone=zone, version=version))
+    return endpoints
 
 
 @pytest.mark.parametrize(
@@ -38,17 +38,17 @@
         (_rule(canary="", withheld=("v1",)), "v3", Pool.STABLE),
     ],
 )
-def test_classes(rule, version, pool):
+def test_an_upstream_is_classified_by_its_version(rule, version, pool):
     assert classify(rule, version) is pool
 
 
-def test_a_canary_upstream_carries_about_what_a_stable_one_does():
+def test_a_canary_upstream_gets_about_the_load_of_a_stable_one():
     pools = assign_pools(_rule(share=100), _endpoints(30, 30))
     assert sum(pool is Pool.CANARY for pool in pools.values()) == 3
     assert sum(pool is Pool.STABLE for pool in pools.values()) == 30
 
 
-def test_each_zone_has_a_canary_upstream_and_steps_reach_all():
+def test_each_zone_has_a_canary_upstream_and_successive_steps_use_all_upstreams():
     endpoints = _endpoints(30, 30)
     seen = set()
     for step in range(1, 11):
@@ -59,30 +59,30 @@
     assert len(seen) == 30
 
 
-def test_all_of_the_load_goes_to_all_canary_upstreams():
+def test_the_full_share_uses_all_canary_upstreams():
     pools = assign_pools(_rule(share=1000), _endpoints(6, 20))
     assert sum(pool is Pool.CANARY for pool in pools.values()) == 20
 
 
-def test_daemons_agree_in_whatever_order_they_learned_of_upstreams():
+def test_pools_do_not_depend_on_the_order_of_endpoints():
     endpoints = _endpoints(20, 20)
     shuffled = endpoints[:]
     random.Random(1).shuffle(shuffled)
     assert assign_pools(_rule(step=4), endpoints) == assign_pools(_rule(step=4), shuffled)
 
 
-def test_a_fleet_that_sees_few_requests_each_keeps_the_share_together():
+def test_many_daemons_with_few_requests_each_keep_the_share_in_total():
     plan = messages.CanaryPlan(revision=1, rules=[_rule(share=50)])
     rng = random.Random(7)
     daemons = [CanarySplit(rng) for _ in range(92)]
     for daemon in daemons:
         daemon.follow(plan)
     taken = sum(daemon.take("s") for daemon in daemons for _ in range(5))
-    # 23 of 460; were each to round up, 92.
+    # The exact share is 23 of 460; if each daemon rounded up, it would be 92.
     assert 13 <= taken <= 33
 
 
-def test_an_older_plan_changes_nothing():
+def test_an_older_plan_is_ignored():
     split = CanarySplit(random.Random(1))
     split.follow(messages.CanaryPlan(revision=5, rules=[_rule(canary="", withheld=("v2",), share=0)]))
     assert split.follow(messages.CanaryPlan(revision=4, rules=[_rule(share=1000)])) == set()
@@ -90,6 +90,6 @@
     assert split.rule("s").canary == ""
 
 
-def test_without_a_canary_nothing_is_taken():
+def test_without_a_canary_no_request_goes_to_one():
     split = CanarySplit(random.Random(1))
     assert not any(split.take("s") for _ in range(100))
--- a/packages/lanedock/lanedock/canary/tests/test_state.py
+++ b/packages/lanedock/lanedock/canary/tests/test_state.py
@@ -1,5 +1,5 @@
 # SPDX-License-Identifier: BSD-3-Clause
-"""The replicated state of canary releases: starts, steps, races, snapshots."""
+"""Tests of the replicated state of canary releases: starts, steps, races, snapshots."""
 
 import pytest
 from hypothesis import given
@@ -23,7 +23,7 @@
     assert state.step(step)
 
 
-def test_an_order_sent_again_is_the_same_one_whatever_became_of_it():
+def test_a_resent_start_returns_the_existing_canary_even_after_its_rollback():
     state = CanaryState()
     assert state.start(_start()).verdict is StartVerdict.STARTED
     assert state.start(_start(at=102.0)).verdict is StartVerdict.KNOWN
@@ -34,7 +34,7 @@
     assert len(state.records) == 1
 
 
-def test_a_version_that_was_rolled_back_may_be_tried_again_once_its_time_is_over():
+def test_a_rolled_back_version_may_be_started_again_after_its_duration():
     state = CanaryState()
     state.start(_start())
     _end(state, ROLLED_BACK)
@@ -53,7 +53,7 @@
         (_start("v2", duration_ms=20_000), ErrorCode.CANARY_RUNS),
     ],
 )
-def test_a_second_order_is_refused_while_one_runs(order, code):
+def test_a_different_start_is_refused_while_a_canary_runs(order, code):
     state = CanaryState()
     state.start(_start())
     before = state.plan()
@@ -61,7 +61,7 @@
     assert state.plan() == before
 
 
-def test_the_stable_version_can_not_be_started():
+def test_the_stable_version_cannot_be_started_as_a_canary():
     state = CanaryState()
     state.start(_start())
     _end(state, COMPLETED)
@@ -69,21 +69,21 @@
     assert state.start(_start(at=500.0, duration_ms=60_000)).code is ErrorCode.CANARY_NOT_NEW
 
 
-def test_two_services_have_canaries_at_once():
+def test_two_services_can_have_canaries_at_the_same_time():
     state = CanaryState()
     assert state.start(_start(service="a")).verdict is StartVerdict.STARTED
     assert state.start(_start(service="b")).verdict is StartVerdict.STARTED
     assert [record.service for record in state.running()] == ["a", "b"]
 
 
-def test_a_step_decided_on_a_state_of_the_past_changes_nothing():
+def test_a_step_decided_on_an_outdated_state_is_ignored():
     state = CanaryState()
     state.start(_start())
     record = messages.CanaryRecord()
     record.CopyFrom(state.newest("s"))
     assert state.step(make_step(record, RUNNING, 80, "trial"))
     revision = state.revision
-    # A deposed leader's, which has seen the state before.
+    # The step of a former leader that was decided on the previous state.
     assert not state.step(make_step(record, COMPLETED, 1000, "late"))
     assert state.newest("s").phase == RUNNING
     assert state.revision == revision
@@ -91,7 +91,7 @@
 
 @pytest.mark.parametrize("first", [COMPLETED, ROLLED_BACK])
 @pytest.mark.parametrize("second", [RUNNING, COMPLETED, ROLLED_BACK])
-def test_an_end_is_final(first, second):
+def test_no_step_is_applied_after_the_end_of_a_canary(first, second):
     state = CanaryState()
     state.start(_start())
     _end(state, first)
@@ -99,7 +99,7 @@
     assert state.newest("s").phase == first
 
 
-def test_a_step_of_a_former_canary_is_not_one_of_the_next():
+def test_a_step_of_a_former_canary_is_not_applied_to_the_next():
     state = CanaryState()
     state.start(_start())
     former = make_step(state.newest("s"), COMPLETED, 1000, "late")
@@ -108,7 +108,7 @@
     assert not state.step(former)
 
 
-def test_completion_withholds_what_was_displaced_and_it_may_come_back_as_a_canary():
+def test_a_completed_canary_withholds_the_displaced_version_until_its_next_start():
     state = CanaryState()
     state.start(_start())
     _end(state, COMPLETED, displaced=("v1", "v2"))
@@ -117,7 +117,7 @@
     assert (state.rule("s").canary, list(state.rule("s").withheld)) == ("v1", [])
 
 
-def test_a_snapshot_of_the_mesh_holds_canaries():
+def test_a_snapshot_of_the_mesh_contains_canaries():
     mesh = MeshState()
     mesh.apply(messages.Command(canary_start=_start()))
     mesh.apply(messages.Command(canary_step=make_step(mesh.canaries.newest("s"), RUNNING, 80, "trial")))
@@ -141,7 +141,7 @@
 
 
 @given(_ENTRIES)
-def test_whatever_is_applied_ends_are_final_and_rules_are_whole(entries):
+def test_ends_are_final_and_rules_stay_consistent_for_any_entries(entries):
     state, ended, revision = CanaryState(), {}, 0
     for kind, version, number, step, phase, at in entries:
         if kind == "start":
