--- a/packages/lanedock/lanedock/quarantine/core.py
+++ b/packages/lanedock/lanedock/quarantine/core.py
@@ -252,12 +252,12 @@
 
     def take_news(self, outbox: SuspicionOutbox, now: float) -> list[messages.Suspicion]:
         """Return the changed suspicions that a neighbour has not been sent yet."""
-        news = []
+        changes = []
         for whole, crash in outbox.take():
             suspect = self._suspects.get(whole)
             if suspect is not None and crash in suspect.crashes:
-                news.append(_make_message(suspect, crash, now))
-        return news
+                changes.append(_make_message(suspect, crash, now))
+        return changes
 
     def whole_news(self, now: float) -> list[messages.Suspicion]:
         """Return all suspicions, for a neighbour that has just connected."""
--- a/packages/lanedock/lanedock/quarantine/tests/test_core.py
+++ b/packages/lanedock/lanedock/quarantine/tests/test_core.py
@@ -73,19 +73,19 @@
     rng = Random(seed)
     sources = [Quarantine() for _ in range(3)]
     outboxes = [source.add_outbox() for source in sources]
-    news = []
+    changes = []
     for number in range(12):
         at = rng.randrange(3)
         if rng.random() < 0.3:
             sources[at].clear(CRASHING)
         else:
             sources[at].note_crash(f"u{number % 7}", [CRASHING], 0.0)
-        news += sources[at].take_news(outboxes[at], 0.0)
+        changes += sources[at].take_news(outboxes[at], 0.0)
         if rng.random() < 0.5:
-            sources[at].merge(rng.sample(news, rng.randrange(len(news) + 1)), 0.0)
+            sources[at].merge(rng.sample(changes, rng.randrange(len(changes) + 1)), 0.0)
     readers = [Quarantine() for _ in range(4)]
     for reader in readers:
-        for item in rng.sample(news, len(news)) + rng.choices(news, k=5):
+        for item in rng.sample(changes, len(changes)) + rng.choices(changes, k=5):
             reader.merge([item], 0.0)
     assert len({tuple(sorted(reader.crashes(CRASHING))) for reader in readers}) == 1
 
--- a/packages/lanedock/lanedock/routing/balancer.py
+++ b/packages/lanedock/lanedock/routing/balancer.py
@@ -38,7 +38,8 @@
 # beyond it an upstream queues requests or slows down.
 _HIGH_UTILIZATION = 0.85
 _FULL_SLOPE = 8.0
-# Ratio of slowness above which a local upstream is not preferred to a remote one any more.
+# Ratio of the local upstream's slowness to the remote one's above which the remote one is
+# considered regardless of the local load.
 _MUCH_SLOWER = 1.6
 # Requests by which the load of a much faster remote upstream has to be lower to be chosen.
 _FASTER_REMOTE_MARGIN = 1.0
--- a/packages/lanedock/lanedock/routing/turns.py
+++ b/packages/lanedock/lanedock/routing/turns.py
@@ -3,8 +3,8 @@
 
 __all__ = ["Turns"]
 
-# Seconds after the last turn at which a limit is taken to have ended. An answer that tells so
-# may have been lost, and nothing else would end the limit.
+# Seconds after the last turn at which the limit expires. The answer that announces its end may
+# have been lost, and nothing else would end it.
 _LIMIT_EXPIRY = 1.0
 # Upper bound of stored turns; a caller never has more requests in progress at one upstream.
 _MAX_TURNS = 64
--- a/packages/lanedock/lanedock/routing/upstream_stats.py
+++ b/packages/lanedock/lanedock/routing/upstream_stats.py
@@ -34,7 +34,7 @@
     is_on_trial : bool
         Whether it was ejected and no request has succeeded since.
     is_unreachable : bool
-        Whether the last attempt to connect to its daemon failed.
+        Whether a connection to its daemon has failed and no probe has succeeded since.
     failed_probes : int
         Probes that have failed since it became unreachable.
     is_application_leaving : bool
