--- a/packages/lanedock/lanedock/membership/__init__.py
+++ b/packages/lanedock/lanedock/membership/__init__.py
@@ -1,5 +1,5 @@
 # SPDX-License-Identifier: BSD-3-Clause
-"""Which instances there are: the platform's list, and what is made of it."""
+"""Membership of the mesh: platform lists, registrations, and the endpoints derived from them."""
 
 from lanedock.membership.advertised_rate import AdvertisedRate
 from lanedock.membership.changes import EndpointChanges
--- a/packages/lanedock/lanedock/membership/advertised_rate.py
+++ b/packages/lanedock/lanedock/membership/advertised_rate.py
@@ -1,89 +1,96 @@
 # SPDX-License-Identifier: BSD-3-Clause
-"""The rate limit that an application advertises in its answers, as its own daemon holds it."""
+"""Rate limit that an application advertises in its answers, as tracked by its own daemon."""
 
 __all__ = ["AdvertisedRate"]
 
-# Seconds without an answer that states the limit, and answers that lack it meanwhile, after
-# which it is over: answers that crossed a newer one, and odd ones, don't end it.
-_ENDS_AFTER = 1.0
-_ENDS_AFTER_ANSWERS = 2
-# Change of the rate, as a part of it, that the mesh learns; the daemon itself keeps the exact one.
-_NEWS = 0.1
+# The limit ends after this many seconds without an answer that states it, if at least this many
+# answers have lacked it since. Single answers without it, or answers that arrive out of order, do not end it.
+_EXPIRY_SECONDS = 1.0
+_EXPIRY_ANSWERS = 2
+# Smallest relative change of the rate that is published to the mesh; the daemon itself uses the exact rate.
+_PUBLISH_THRESHOLD = 0.1
 
 
 class AdvertisedRate:
-    """The rate limit of one incarnation of an application. Pure.
+    """Rate limit of one incarnation of an application.
 
-    It holds as long as the application states it. Kept too long it costs little, for callers
-    go elsewhere; dropped too early it lets the application be flooded.
+    Performs no I/O and reads no clock. The limit applies as long as the application keeps
+    stating it. A limit that is kept too long costs little, because callers use other instances;
+    a limit that is dropped too early lets callers overload the application.
 
     Attributes
     ----------
     rate : float or None
-        Requests a second that the application takes from all callers together; None for any number.
+        Requests per second that the application accepts from all callers together; None for no limit.
     """
 
-    __slots__ = ("_is_heard", "_lacking", "_published", "_stated_at", "rate")
+    __slots__ = ("_answers_without_rate", "_has_answered", "_published", "_stated_at", "rate")
 
     def __init__(self):
         self.rate: float | None = None
         self._published: float | None = None
         self._stated_at = float("-inf")
-        self._lacking = 0
-        self._is_heard = False
+        self._answers_without_rate = 0
+        self._has_answered = False
 
     def __repr__(self) -> str:
         return f"<AdvertisedRate {self.rate}>"
 
     def note(self, rate: float | None, now: float) -> bool:
-        """Note what an answer states; returns whether the limit has changed.
+        """Record the rate limit in an answer.
 
         Parameters
         ----------
         rate : float or None
-            None where the answer states none.
+            Requests per second; None if the answer states no limit.
         now : float
-            Seconds, of any steady clock.
+            Seconds of a monotonic clock.
+
+        Returns
+        -------
+        bool
+            Whether the limit has changed.
         """
         if rate is not None:
             self._stated_at = now
-            self._lacking = 0
+            self._answers_without_rate = 0
         else:
-            self._lacking += 1
-            # A health check alone, right after the daemon's start, may lack what answers state.
-            if self._lacking < _ENDS_AFTER_ANSWERS or now - self._stated_at < _ENDS_AFTER:
+            self._answers_without_rate += 1
+            # The answer to a health check right after the daemon's start may lack the limit that
+            # answers to requests state.
+            if self._answers_without_rate < _EXPIRY_ANSWERS or now - self._stated_at < _EXPIRY_SECONDS:
                 return False
-        self._is_heard = True
+        self._has_answered = True
         is_changed, self.rate = rate != self.rate, rate
         return is_changed
 
     def note_unreadable(self, now: float) -> None:
-        """Note an answer that states a limit which can't be read: the one that is held stays."""
-        self._is_heard = True
+        """Record an answer whose rate limit cannot be parsed, and keep the current limit."""
+        self._has_answered = True
         self._stated_at = now
-        self._lacking = 0
+        self._answers_without_rate = 0
 
     def adopt(self, rate: float | None, now: float) -> bool:
-        """Take over what the mesh knows, until an answer states it; returns whether the limit has changed."""
-        if self._is_heard or rate == self.rate:
+        """Use the limit that the mesh knows unless an answer has set or ended it; return whether it has changed."""
+        if self._has_answered or rate == self.rate:
             return False
         self.rate = self._published = rate
         self._stated_at = now
         return True
 
     def take_news(self) -> bool:
-        """Tell whether the mesh is to learn of a change since this was last true."""
-        if not self._is_news():
+        """Return whether the limit has to be published to the mesh, and mark it as published."""
+        if not self._differs_from_published():
             return False
         self._published = self.rate
         return True
 
-    def _is_news(self) -> bool:
+    def _differs_from_published(self) -> bool:
         if self.rate is None or self._published is None:
             return self.rate is not self._published
-        return abs(self.rate - self._published) > _NEWS * self._published
+        return abs(self.rate - self._published) > _PUBLISH_THRESHOLD * self._published
 
     @property
     def published(self) -> float | None:
-        """The limit as the mesh learns it."""
+        """The limit that was last published to the mesh, in requests per second."""
         return self._published
--- a/packages/lanedock/lanedock/membership/core.py
+++ b/packages/lanedock/lanedock/membership/core.py
@@ -1,5 +1,5 @@
 # SPDX-License-Identifier: BSD-3-Clause
-"""Instances as the platform lists them."""
+"""Instances on the platform's list."""
 
 from abc import ABC, abstractmethod
 from enum import Enum
@@ -11,36 +11,37 @@
 
 
 class InstanceState(Enum):
-    """What the platform reports of an instance."""
+    """State of an instance on the platform's list."""
 
     LIVE = "live"
     LEAVING = "leaving"
 
 
-# Largest port that TCP has (16 bits).
+# Largest TCP port number (16 bits).
 MAX_PORT = 65535
-_STATES = {state.value: state for state in InstanceState}
+_STATES_BY_NAME = {state.value: state for state in InstanceState}
 
 
 class Instance:
-    """An instance with a daemon in its slot.
+    """An instance that runs a daemon.
 
     Parameters
     ----------
     name : str
         Id, unique in the mesh.
     zone : str
+        Availability zone.
     service : str
-        Empty for an entry instance.
+        Service that the instance belongs to; empty for an entry instance.
     host : str
-        IP number.
+        IP address.
     port : int
-        Where its daemon takes requests.
+        Port on which its daemon accepts requests.
     state : InstanceState
     incarnation : int
-        Grows when the instance is replaced under the same name.
+        Increases when the instance is replaced under the same name.
     version : str
-        Of its application's software; empty where it isn't listed.
+        Version of its application's software; empty if the list does not state it.
     """
 
     __slots__ = ("host", "incarnation", "name", "port", "service", "state", "version", "zone")
@@ -62,12 +63,12 @@
 
 
 class PlatformList(ABC):
-    """The platform's list of live and leaving instances. It lags.
+    """The platform's list of live and leaving instances, which may be out of date.
 
     Attributes
     ----------
     findings : list of Finding
-        Of the entries that could not be read at the last read, and were left out.
+        Errors in the entries that the last read skipped because they were invalid.
     """
 
     def __init__(self):
@@ -75,52 +76,57 @@
 
     @abstractmethod
     def read(self) -> list[Instance]:
-        """Return the list as it is now.
+        """Read and return the current list.
 
         Raises
         ------
         LanedockError
-            `ErrorCode.PLATFORM_UNREADABLE`
+            `ErrorCode.PLATFORM_UNREADABLE`: the list cannot be read or has no valid entry.
         """
 
 
 def parse_instances(text: str, source: str, findings: list[Finding] | None = None) -> list[Instance]:
     """Parse a list: ``{"instances": [{"name", "zone", "service", "host", "port", "state"}]}``.
 
-    Another writer may have written an entry: one that can't be read names no instance, and
-    the others hold.
+    Different writers may contribute entries to one list, so an invalid entry is skipped and
+    the others are used.
 
     Parameters
     ----------
     text : str
+        JSON text.
     source : str
-        Named in findings.
+        Path or URL of the list, for findings and error messages.
     findings : list of Finding, optional
-        Collects what is wrong with the entries that are left out.
+        Receives the errors in the skipped entries.
+
+    Returns
+    -------
+    list of Instance
 
     Raises
     ------
     LanedockError
-        `ErrorCode.PLATFORM_UNREADABLE`: there is no list, or no entry of it can be read.
+        `ErrorCode.PLATFORM_UNREADABLE`: the text is not a list, or all its entries are invalid.
     """
-    refused: list[Finding] = []
+    rejected: list[Finding] = []
     try:
-        top = FieldReader(source, read_text(text, source).value, "", [])
-        entries = top.objects("instances", is_apart=True)
-        top.finish()
+        document = FieldReader(source, read_text(text, source).value, "", [])
+        entries = document.objects("instances", is_apart=True)
+        document.finish()
     except (LanedockError, RecursionError) as exc:
         raise LanedockError(ErrorCode.PLATFORM_UNREADABLE, f"{source}: {exc!r}") from exc
     instances = []
     for entry in entries:
         instance = _parse_instance(entry)
         if entry.findings:
-            refused += entry.findings
+            rejected += entry.findings
         else:
             instances.append(instance)
-    if refused and not instances:
-        raise LanedockError(ErrorCode.PLATFORM_UNREADABLE, str(FindingsError(refused)))
+    if rejected and not instances:
+        raise LanedockError(ErrorCode.PLATFORM_UNREADABLE, str(FindingsError(rejected)))
     if findings is not None:
-        findings += refused
+        findings += rejected
     return instances
 
 
@@ -131,7 +137,7 @@
         service=item.text("service", ""),
         host=item.text("host"),
         port=item.count("port", 1, MAX_PORT),
-        state=item.word("state", _STATES, "live"),
+        state=item.word("state", _STATES_BY_NAME, "live"),
         incarnation=item.count("incarnation", 0, default=1),
         version=item.text("version", ""),
     )
--- a/packages/lanedock/lanedock/membership/directory.py
+++ b/packages/lanedock/lanedock/membership/directory.py
@@ -1,9 +1,9 @@
 # SPDX-License-Identifier: BSD-3-Clause
-"""The directory of endpoints: what is sent to daemons, and when.
+"""Directory of endpoints, built from the platform's list and from drains that daemons report.
 
-The platform's list lags, so it alone is not believed: once any source (the
-list or the instance's own daemon) has reported that an instance leaves, it leaves
-until it is replaced or its daemon is started anew.
+The platform's list may be out of date. Once either source (the list or the instance's own
+daemon) has reported that an instance leaves, the instance counts as leaving until it is
+replaced or its daemon is restarted.
 """
 
 from lanedock.membership.changes import EndpointChanges
@@ -14,45 +14,53 @@
 
 
 class Directory(EndpointChanges):
-    """Endpoints by instance, with their changes gathered in a window.
+    """Endpoints of the instances on the platform's list.
 
     Parameters
     ----------
     window : float
-        Seconds that changes are gathered; an instance that leaves is reported at once.
+        Seconds for which changes are batched. An instance that leaves or is removed is sent
+        immediately.
     """
 
     def __init__(self, window: float):
         super().__init__(window)
         self._drained: dict[str, int] = {}
-        # A list that lags may show a leaving instance as live again.
+        # Incarnations that the list has shown as leaving: an outdated list may show them as live again.
         self._listed_leaving: dict[str, int] = {}
 
     def take_list(self, instances: list[Instance], now: float) -> None:
-        """Accept the platform's list."""
+        """Update the endpoints from the platform's list.
+
+        Parameters
+        ----------
+        instances : list of Instance
+        now : float
+            Monotonic time, in seconds.
+        """
         listed = set()
         for instance in instances:
             listed.add(instance.name)
-            self._offer(self._make(instance), now)
+            self._update_endpoint(self._make_endpoint(instance), now)
         for name in list(self._endpoints):
             if name not in listed:
-                self._change(name, None, now)
+                self._queue_change(name, None, now)
 
     def drain(self, name: str, incarnation: int, now: float) -> bool:
-        """Note that an instance leaves.
+        """Record that an instance leaves, as its daemon reports.
 
         Parameters
         ----------
         name : str
         incarnation : int
-            Of its daemon.
+            Incarnation of the instance's daemon.
         now : float
-            Monotonic, seconds.
+            Monotonic time, in seconds.
 
         Returns
         -------
         bool
-            Whether that is news.
+            False if a drain of this or a later incarnation was already recorded.
         """
         if self._drained.get(name, -1) >= incarnation:
             return False
@@ -62,15 +70,15 @@
             leaving = messages.Endpoint()
             leaving.CopyFrom(current)
             leaving.leaving = True
-            self._change(name, leaving, now)
+            self._queue_change(name, leaving, now)
         return True
 
     def revive(self, name: str, incarnation: int) -> None:
-        """Note that an instance's daemon was started anew and takes work."""
+        """Clear a recorded drain when a later incarnation of the instance's daemon takes requests."""
         if self._drained.get(name, incarnation) < incarnation:
             del self._drained[name]
 
-    def _make(self, instance: Instance) -> messages.Endpoint:
+    def _make_endpoint(self, instance: Instance) -> messages.Endpoint:
         drained = instance.name in self._drained
         return messages.Endpoint(
             instance=instance.name,
@@ -83,7 +91,7 @@
             version=instance.version,
         )
 
-    def _offer(self, endpoint: messages.Endpoint, now: float) -> None:
+    def _update_endpoint(self, endpoint: messages.Endpoint, now: float) -> None:
         if endpoint.leaving and endpoint.instance not in self._drained:
             self._listed_leaving[endpoint.instance] = endpoint.incarnation
         current = self._pending.get(endpoint.instance) or self._endpoints.get(endpoint.instance)
@@ -93,4 +101,4 @@
             if self._listed_leaving.get(endpoint.instance) == endpoint.incarnation:
                 endpoint.leaving = True
         if current != endpoint:
-            self._change(endpoint.instance, endpoint, now)
+            self._queue_change(endpoint.instance, endpoint, now)
--- a/packages/lanedock/lanedock/membership/heartbeat.py
+++ b/packages/lanedock/lanedock/membership/heartbeat.py
@@ -1,33 +1,35 @@
 # SPDX-License-Identifier: BSD-3-Clause
-"""What an application reports of itself to the daemon beside it."""
+"""Heartbeats that an application sends to its local daemon."""
 
 from lanedock.membership.incarnation import Incarnation
 
 __all__ = ["UNKNOWN_VERSION", "Heartbeat"]
 
-# Version of an application that has not reported since its daemon's start which it is.
+# Placeholder for the software version of an application that has not reported it since its daemon started.
 UNKNOWN_VERSION = "?"
 
 
 class Heartbeat:
-    """What an application reports of itself.
+    """Status report of an application.
 
     Parameters
     ----------
     upstream : str
         Id of the application.
     service : str
+        Service that the application belongs to.
     sequence : int
-        Grows with each heartbeat of one incarnation.
+        Increases with each heartbeat of one incarnation.
     is_draining : bool
+        Whether the application takes no new requests.
     slots : int
-        Requests that it works on at once; 0 where it does not report them.
+        Number of requests that it processes concurrently; 0 if not reported.
     cold_left : float
-        Seconds for which it is still slow.
+        Remaining warm-up time, in seconds.
     started : int
-        Unix milliseconds of the application's start; 0 where it does not report it.
+        Start time of the application in Unix milliseconds; 0 if not reported.
     version : str
-        Of the application's software; empty where it does not report it.
+        Version of the application's software; empty if not reported.
     """
 
     __slots__ = ("cold_left", "incarnation", "is_draining", "sequence", "service", "slots", "version")
--- a/packages/lanedock/lanedock/membership/incarnation.py
+++ b/packages/lanedock/lanedock/membership/incarnation.py
@@ -1,22 +1,22 @@
 # SPDX-License-Identifier: BSD-3-Clause
-"""One start of an application."""
+"""Identity of one start of an application."""
 
 __all__ = ["Incarnation"]
 
 
 class Incarnation:
-    """An application's id, and when it was started under it. Never changed once made.
+    """An application's id and start time. Immutable.
 
-    An application may start again under the id that it had; it then knows nothing of
-    what it was sent before.
+    An application may restart under the same id; it then has no record of the requests that
+    it received before.
 
     Parameters
     ----------
     upstream : str
-        Id; empty for none.
+        Id of the application; empty for none.
     started : int
-        Unix milliseconds by the application's own clock; 0 where it is not known. Clocks
-        step, so a later start may read earlier than the one before it.
+        Start time in Unix milliseconds of the application's own clock; 0 if unknown. The
+        clock may be set back, so a later start may have an earlier start time.
     """
 
     __slots__ = ("started", "upstream")
@@ -37,11 +37,11 @@
         return f"<Incarnation {self.upstream or '-'} started={self.started or '?'}>"
 
     def may_be(self, other: "Incarnation") -> bool:
-        """Tell whether both are the same start, as far as is known."""
+        """Return whether both may be the same start; an unknown start time matches any."""
         if self.upstream != other.upstream:
             return False
         return self.started == other.started or not (self.started and other.started)
 
     def is_restart_of(self, other: "Incarnation") -> bool:
-        """Tell whether this is a later start under the same id, by the application's clock."""
+        """Return whether this is a later start under the same id, by the application's clock."""
         return self.upstream == other.upstream and self.started > other.started > 0
--- a/packages/lanedock/lanedock/membership/registration.py
+++ b/packages/lanedock/lanedock/membership/registration.py
@@ -1,23 +1,25 @@
 # SPDX-License-Identifier: BSD-3-Clause
-"""The registration of one upstream's application at the daemon beside it.
+"""Registration of an upstream's application at the local daemon.
 
-The daemon is the only way in to the application, so what it knows here binds
-at once: from the moment a drain is noted, no request is passed on.
+All requests reach the application through its daemon, so a change of the registration
+takes effect immediately: once a drain is recorded, the daemon forwards no more requests.
 
-An incarnation is one start of the application: its id, and when it was started under it.
+An incarnation is one start of the application, identified by the application's id and
+its start time.
 
-Which of two ids is the later one can't be read off their heartbeats: a
-cut may hold one back until after its sender has crashed, and a daemon that was
-restarted remembers no former ones. So a heartbeat of another id than the
-one that is held names a rival only, and the application itself, which is asked
-over loopback, decides between them.
+Heartbeats alone do not show which of two ids is newer: a network partition may delay a
+heartbeat until after its sender has crashed, and a restarted daemon does not remember
+former ids. A heartbeat with an id other than the current one therefore only makes its
+sender a rival. The daemon then asks the application over loopback for its id, and the
+answer decides between the two (`UpstreamRegistration.settle`).
 
-Times are those in which the instance has run (`lanedock.clock.awake`): the application is
-suspended together with its daemon, and was not silent meanwhile.
+The application's answer contains only its id, so two starts under the same id are ordered
+by their start times. If the clock was set back between them, the newer start is the one
+that keeps sending heartbeats after the other has stopped.
 
-Of two starts under one id the application reports the id alone when it is asked, so the
-times of its starts decide. Where a clock was set back between them, the one that goes on
-sending heartbeats while the other has stopped is the later.
+All times are in seconds of `lanedock.clock.awake`, which does not advance while the
+instance is suspended: the application is suspended together with its daemon, so it does not
+count as silent for that time.
 """
 
 from lanedock.errors import ErrorCode
@@ -28,45 +30,49 @@
 
 __all__ = ["UpstreamRegistration"]
 
-# Heartbeats that may be missed before an application counts as silent, and the
-# time, in seconds, by which a heartbeat may be late on its way.
-MISSED_BEATS = 3
-LATENESS = 1.0
-# Former incarnations of the application that are remembered, so that a late
-# heartbeat of one changes nothing.
-MAX_FORMER = 64
+# An application counts as silent after this many missed heartbeats plus the longest
+# delay of a heartbeat in transit, in seconds.
+MAX_MISSED_HEARTBEATS = 3
+MAX_HEARTBEAT_DELAY = 1.0
+# Number of ended incarnations to remember, so that their delayed heartbeats are ignored.
+MAX_ENDED_INCARNATIONS = 64
 
 
 class UpstreamRegistration:
-    """The incarnation of the application that a daemon speaks for. Pure.
+    """The application incarnation that a daemon represents in the mesh.
+
+    Performs no I/O and reads no clock.
 
     Parameters
     ----------
     service : str
-        As settings have it, until the application reports another.
+        Service from the settings, used until the application reports another.
     is_required : bool
-        Whether requests wait for a registration. Without one an application
-        counts as there from the start.
+        Whether requests are refused until the application has registered. If false, the
+        application counts as available from the start.
     interval : float
         Seconds between heartbeats.
 
     Attributes
     ----------
     incarnation : Incarnation
-        With an empty id before the application has registered.
+        Current incarnation; its id is empty before the application has registered.
     revision : int
-        Grows with every change that others have to learn.
+        Increases with every change that the mesh has to learn.
     is_leaving : bool
+        Whether the current incarnation takes no new requests.
     slots : int
+        Number of requests that the application processes concurrently.
     version : str
-        Of the application's software; `UNKNOWN_VERSION` until it is known.
+        Version of the application's software; empty, or `UNKNOWN_VERSION` after adoption
+        from the mesh, until it is known.
     advertised : AdvertisedRate
-        Of the incarnation that is held.
+        Rate limit of the current incarnation.
     cold_until : float
-        Seconds by `lanedock.clock.awake`.
+        Time at which the application's warm-up ends, in seconds of `lanedock.clock.awake`.
     rival : Heartbeat or None
-        The newest heartbeat of another incarnation than the one that is held,
-        until `settle` decides between the two.
+        Latest heartbeat of an incarnation with another id than the current one, until
+        `settle` decides between the two.
     """
 
     def __init__(self, service: str, is_required: bool, interval: float):
@@ -79,54 +85,61 @@
         self.advertised = AdvertisedRate()
         self.cold_until = 0.0
         self.rival: Heartbeat | None = None
-        self._rival_heard_at = 0.0
-        self._earlier: Heartbeat | None = None
-        self._earlier_heard_at = 0.0
+        self._rival_first_seen_at = 0.0
+        self._other_start: Heartbeat | None = None
+        self._other_start_first_seen_at = 0.0
         self._is_required = is_required
-        self._silence_limit = MISSED_BEATS * interval + LATENESS
+        self._silence_limit = MAX_MISSED_HEARTBEATS * interval + MAX_HEARTBEAT_DELAY
         self._sequence = -1
-        # By heartbeats, and by heartbeats or answers.
-        self._beat_at = float("-inf")
-        self._heard_at = float("-inf")
-        self._former: dict[Incarnation, None] = {}
-        self._was_silent = False
+        # Time of the last heartbeat, and of the last heartbeat or answer.
+        self._last_heartbeat_at = float("-inf")
+        self._last_contact_at = float("-inf")
+        self._ended_incarnations: dict[Incarnation, None] = {}
+        self._is_silent = False
 
     def __repr__(self) -> str:
         return f"<UpstreamRegistration {self.upstream or '-'} leaving={self.is_leaving} revision={self.revision}>"
 
     @property
     def upstream(self) -> str:
-        """Id of the application; empty before it has registered."""
+        """Id of the current incarnation; empty before the application has registered."""
         return self.incarnation.upstream
 
     # ------------------------------------------------------------------ inputs
 
     def beat(self, heartbeat: Heartbeat, now: float) -> bool:
-        """Accept a heartbeat.
+        """Process a heartbeat.
+
+        While the current incarnation takes requests, a heartbeat with another id is only
+        recorded as its rival.
 
-        One of another id than that which takes work becomes its rival.
+        Parameters
+        ----------
+        heartbeat : Heartbeat
+        now : float
+            Seconds of `lanedock.clock.awake`.
 
         Returns
         -------
         bool
-            Whether others have to learn of a change.
+            Whether the mesh has to learn of a change.
         """
         incarnation = heartbeat.incarnation
         if incarnation.upstream == self.upstream:
-            return self._beat_of_same_id(heartbeat, now)
-        if incarnation in self._former:
+            return self._process_same_id(heartbeat, now)
+        if incarnation in self._ended_incarnations:
             return False
-        if self.is_taking_work() and not self._is_proven_later(heartbeat, now):
+        if self.is_taking_work() and not self._is_rival_proven_newer(heartbeat, now):
             return False
-        return self._begin_with(heartbeat, now)
+        return self._switch_to_sender(heartbeat, now)
 
-    def _beat_of_same_id(self, heartbeat: Heartbeat, now: float) -> bool:
-        """Accept a heartbeat of the start that is held, or of another one under its id."""
+    def _process_same_id(self, heartbeat: Heartbeat, now: float) -> bool:
+        """Process a heartbeat with the current id, of the current start or of another one."""
         incarnation = heartbeat.incarnation
         if self.lacks_start(heartbeat) or not incarnation.may_be(self.incarnation):
-            is_later = incarnation.is_restart_of(self.incarnation) and incarnation not in self._former
-            if is_later or self._is_restart_by_silence(heartbeat, now):
-                return self._begin_with(heartbeat, now)
+            is_later = incarnation.is_restart_of(self.incarnation) and incarnation not in self._ended_incarnations
+            if is_later or self._replaces_silent_start(heartbeat, now):
+                return self._switch_to_sender(heartbeat, now)
             return False
         if heartbeat.sequence <= self._sequence:
             return False
@@ -134,101 +147,103 @@
         if is_learned:
             self.incarnation = incarnation
             self.revision += 1
-        return self._apply(heartbeat, now) or is_learned
+        return self._apply_heartbeat(heartbeat, now) or is_learned
 
-    def _is_restart_by_silence(self, heartbeat: Heartbeat, now: float) -> bool:
-        """Note a start that does not read later than the one that is held; tell whether it is the later one.
+    def _replaces_silent_start(self, heartbeat: Heartbeat, now: float) -> bool:
+        """Record another start whose start time is not later; return whether it replaces the current one.
 
-        It is where it goes on sending, while the one that is held has sent nothing for as
-        long as makes an application silent: late heartbeats of a former start come beside
-        those of the later one.
+        It does so if it has kept sending heartbeats for `MAX_HEARTBEAT_DELAY` seconds and the
+        current start has sent none for the silence limit. Delayed heartbeats of an ended start
+        do not meet this condition, because the current start keeps sending meanwhile.
         """
-        earlier = self._earlier
-        if earlier is None or earlier.incarnation != heartbeat.incarnation:
-            self._earlier_heard_at = now
-        elif heartbeat.sequence <= earlier.sequence:
+        other = self._other_start
+        if other is None or other.incarnation != heartbeat.incarnation:
+            self._other_start_first_seen_at = now
+        elif heartbeat.sequence <= other.sequence:
             return False
-        self._earlier = heartbeat
-        is_sending = now - self._earlier_heard_at >= LATENESS
-        return is_sending and now - self._beat_at > self._silence_limit
+        self._other_start = heartbeat
+        is_sending = now - self._other_start_first_seen_at >= MAX_HEARTBEAT_DELAY
+        return is_sending and now - self._last_heartbeat_at > self._silence_limit
 
-    def _apply(self, heartbeat: Heartbeat, now: float) -> bool:
-        """Take over what the incarnation that is held reports of itself."""
+    def _apply_heartbeat(self, heartbeat: Heartbeat, now: float) -> bool:
+        """Copy the reported values of the current incarnation; return whether the mesh has to learn of a change."""
         self._sequence = heartbeat.sequence
-        self._beat_at = self._heard_at = now
+        self._last_heartbeat_at = self._last_contact_at = now
         self.cold_until = now + heartbeat.cold_left
-        before = (self.service, self.slots, self.version, self.is_leaving, self._was_silent)
+        before = (self.service, self.slots, self.version, self.is_leaving, self._is_silent)
         self.service = heartbeat.service
         self.slots = heartbeat.slots
         self.version = heartbeat.version
-        # Draining is for good, whatever a later heartbeat of this incarnation reports.
+        # An incarnation that drains never takes requests again, even if a later heartbeat reports otherwise.
         self.is_leaving = self.is_leaving or heartbeat.is_draining
-        self._was_silent = False
+        self._is_silent = False
         after = (self.service, self.slots, self.version, self.is_leaving, False)
         is_changed = before != after or self.revision == 0
         if is_changed:
             self.revision += 1
         return is_changed
 
-    def _is_proven_later(self, heartbeat: Heartbeat, now: float) -> bool:
-        """Note a rival; tell whether its heartbeats alone prove it to be the later one.
+    def _is_rival_proven_newer(self, heartbeat: Heartbeat, now: float) -> bool:
+        """Record a rival; return whether its heartbeats alone prove that it is newer.
 
-        They do where the application can't be asked: a former incarnation's late
-        heartbeats all arrive when the cut that held them back ends, and then no
-        more; so what still sends newer ones a lateness after the first is alive.
+        This decides when the application cannot be asked for its id. The delayed heartbeats
+        of an ended incarnation all arrive together when the network partition heals, so a
+        rival that sends a newer heartbeat at least `MAX_HEARTBEAT_DELAY` seconds after its
+        first one is running.
         """
         rival = self.rival
         if rival is None or rival.incarnation != heartbeat.incarnation:
-            self._rival_heard_at = now
+            self._rival_first_seen_at = now
         elif heartbeat.sequence <= rival.sequence:
             return False
-        elif now - self._rival_heard_at >= LATENESS:
+        elif now - self._rival_first_seen_at >= MAX_HEARTBEAT_DELAY:
             return True
         self.rival = heartbeat
         return False
 
     def settle(self, upstream: str, now: float) -> bool:
-        """Decide between the incarnation that is held and its rival.
+        """Decide between the current incarnation and its rival.
 
         Parameters
         ----------
         upstream : str
-            Id that the application reports; empty where it can't be asked.
+            Id that the application reports; empty if it cannot be asked.
         now : float
+            Seconds of `lanedock.clock.awake`.
 
         Returns
         -------
         bool
-            Whether others have to learn of a change.
+            Whether the mesh has to learn of a change.
         """
         rival = self.rival
         if rival is None or upstream not in (self.upstream, rival.upstream):
             return False
         self.rival = None
         if upstream == self.upstream:
-            self._forget(rival.incarnation)
+            self._mark_ended(rival.incarnation)
             return False
-        return self._begin_with(rival, now)
-
-    def _forget(self, incarnation: Incarnation) -> None:
-        """Note that an incarnation has ended."""
-        self._former[incarnation] = None
-        while len(self._former) > MAX_FORMER:
-            del self._former[next(iter(self._former))]
-
-    def _begin_with(self, heartbeat: Heartbeat, now: float) -> bool:
-        """Begin with the incarnation that a heartbeat is of; others have to learn of it."""
-        self._begin(heartbeat.incarnation)
-        self._apply(heartbeat, now)
+        return self._switch_to_sender(rival, now)
+
+    def _mark_ended(self, incarnation: Incarnation) -> None:
+        """Record that an incarnation has ended."""
+        self._ended_incarnations[incarnation] = None
+        while len(self._ended_incarnations) > MAX_ENDED_INCARNATIONS:
+            del self._ended_incarnations[next(iter(self._ended_incarnations))]
+
+    def _switch_to_sender(self, heartbeat: Heartbeat, now: float) -> bool:
+        """Make a heartbeat's sender the current incarnation; always a change for the mesh."""
+        self._switch_to(heartbeat.incarnation)
+        self._apply_heartbeat(heartbeat, now)
         return True
 
-    def _begin(self, incarnation: Incarnation) -> None:
-        """Begin with another incarnation of the application."""
+    def _switch_to(self, incarnation: Incarnation) -> None:
+        """Make an incarnation the current one and reset the state of its predecessor."""
         if self.upstream:
-            self._forget(self.incarnation)
-        self._former.pop(incarnation, None)
+            self._mark_ended(self.incarnation)
+        self._ended_incarnations.pop(incarnation, None)
         self.rival = None
-        self._earlier = None
+        self._other_start = None
         self.incarnation = incarnation
         self.is_leaving = False
         self.advertised = AdvertisedRate()
@@ -236,13 +251,19 @@
         self.revision += 1
 
     def leave(self, upstream: str, started: int = 0) -> bool:
-        """Note that an incarnation of the application leaves; returns whether that is news.
+        """Record that an incarnation of the application leaves.
 
         Parameters
         ----------
         upstream : str
+            Id of the application.
         started : int
-            Unix milliseconds; 0 for whichever start is held.
+            Start time in Unix milliseconds; 0 matches any start under the id.
+
+        Returns
+        -------
+        bool
+            Whether the current incarnation has changed to leaving.
         """
         incarnation = Incarnation(upstream, started)
         if not incarnation.may_be(self.incarnation):
@@ -250,7 +271,7 @@
             if rival is not None and rival.incarnation.may_be(incarnation):
                 self.rival = None
                 incarnation = rival.incarnation
-            self._forget(incarnation)
+            self._mark_ended(incarnation)
             return False
         if self.is_leaving:
             return False
@@ -269,40 +290,57 @@
         version: str = UNKNOWN_VERSION,
         rate_limit: float | None = None,
     ) -> bool:
-        """Take over what the mesh knows of the application, after a restart of its daemon.
+        """Restore the registration from the mesh after a restart of the daemon.
+
+        Parameters
+        ----------
+        upstream : str
+            Id of the application.
+        service : str
+        is_leaving : bool
+        slots : int
+            Number of requests that the application processes concurrently.
+        now : float
+            Seconds of `lanedock.clock.awake`.
+        started : int
+            Start time in Unix milliseconds; 0 if unknown.
+        version : str
+            Version of the application's software.
+        rate_limit : float or None
+            Requests per second; None for no limit.
 
         Returns
         -------
         bool
-            Whether that is news here.
+            Whether the registration has changed.
         """
         incarnation = Incarnation(upstream, started)
-        if not upstream or incarnation in self._former:
+        if not upstream or incarnation in self._ended_incarnations:
             return False
         if upstream == self.upstream and incarnation.may_be(self.incarnation):
             self.advertised.adopt(rate_limit, now)
-            return self._adopt_held(incarnation, is_leaving, version)
+            return self._merge_current(incarnation, is_leaving, version)
         if upstream == self.upstream and not incarnation.is_restart_of(self.incarnation):
             return False
         if self.upstream and self.upstream != upstream:
             if self.rival is None:
-                # The one that is held may be the former: its heartbeat came late,
-                # and first after this daemon's restart.
+                # The current incarnation may have ended already: its delayed heartbeat may
+                # have been the first to arrive after this daemon's restart.
                 self.rival = Heartbeat(upstream, service, -1, is_leaving, slots, 0.0, started, version)
-                self._rival_heard_at = now
+                self._rival_first_seen_at = now
             return False
-        self._begin(incarnation)
+        self._switch_to(incarnation)
         self.advertised.adopt(rate_limit, now)
         self.service = service
         self.slots = slots
         self.version = version
-        self._beat_at = float("-inf")
-        self._heard_at = now
+        self._last_heartbeat_at = float("-inf")
+        self._last_contact_at = now
         self.is_leaving = is_leaving
         return True
 
-    def _adopt_held(self, incarnation: Incarnation, is_leaving: bool, version: str) -> bool:
-        """Take over what the mesh knows of the incarnation that is held."""
+    def _merge_current(self, incarnation: Incarnation, is_leaving: bool, version: str) -> bool:
+        """Add what the mesh knows of the current incarnation; return whether something has changed."""
         if not self.incarnation.started:
             self.incarnation = incarnation
         is_learned = self.version == UNKNOWN_VERSION != version
@@ -315,23 +353,25 @@
         return is_news or is_learned
 
     def learn_version(self, version: str) -> None:
-        """Take over the version that the mesh knows, where the application has reported none."""
+        """Use the version that the mesh knows if the application has reported none."""
         if version and not self.version:
             self.version = version
 
     def note_answer(self, now: float) -> None:
-        """Note that the application has answered a request, which is better than a heartbeat."""
-        self._heard_at = now
+        """Record that the application has answered a request, which shows that it is not silent."""
+        self._last_contact_at = now
 
     def note_report(self, report: UpstreamReport, incarnation: Incarnation, now: float) -> bool:
-        """Note what an answer states of the application.
+        """Process the application's report about itself in an answer.
 
         Parameters
         ----------
         report : UpstreamReport
         incarnation : Incarnation
-            The one that was asked: what an earlier one has stated says nothing of the one that is held.
+            Incarnation that answered. A report of an ended incarnation is ignored, because it
+            does not apply to the current one.
         now : float
+            Seconds of `lanedock.clock.awake`.
 
         Returns
         -------
@@ -349,36 +389,37 @@
         return is_changed
 
     def check_silence(self, now: float) -> bool:
-        """Tell whether the application has just fallen silent; others have to learn that."""
-        is_silent = bool(self.upstream) and now - self._heard_at > self._silence_limit
-        if is_silent == self._was_silent:
+        """Update whether the application is silent; return whether that has changed, which the mesh has to learn."""
+        is_silent = bool(self.upstream) and now - self._last_contact_at > self._silence_limit
+        if is_silent == self._is_silent:
             return False
-        self._was_silent = is_silent
+        self._is_silent = is_silent
         self.revision += 1
         return True
 
     # ----------------------------------------------------------------- outputs
 
     def lacks_start(self, heartbeat: Heartbeat) -> bool:
-        """Tell whether a heartbeat does not give the start that its application reports: it is of another sender."""
-        held = self.incarnation
-        return heartbeat.upstream == held.upstream and held.started > 0 and not heartbeat.incarnation.started
+        """Return whether a heartbeat with the current id lacks the known start time, so is from another sender."""
+        current = self.incarnation
+        return heartbeat.upstream == current.upstream and current.started > 0 and not heartbeat.incarnation.started
 
     def is_taking_work(self) -> bool:
-        """Tell whether requests may be passed on."""
+        """Return whether requests may be forwarded to the application."""
         if not self._is_required:
             return not self.is_leaving
-        return bool(self.upstream) and not (self.is_leaving or self._was_silent)
+        return bool(self.upstream) and not (self.is_leaving or self._is_silent)
 
     def judge(self, expected: str) -> ErrorCode | None:
-        """Tell why a request may not be passed on; None where it may.
+        """Return why a request must not be forwarded, or None if it may be.
 
         Parameters
         ----------
         expected : str
-            Id of the application that the sender means; empty for any. Its start isn't
-            compared: the application itself checks its id alone, and a request that comes
-            while it starts again may run on its new start, for it has run on none yet.
+            Id of the application that the sender addresses; empty for any. Start times are
+            not compared: the application itself checks only its id, and a request that
+            arrives during a restart has not run on the former start, so the new start may
+            process it.
         """
         if not self._is_required:
             return ErrorCode.DRAINING if self.is_leaving else None
@@ -386,10 +427,10 @@
             return ErrorCode.NOT_READY
         if expected and expected != self.upstream:
             return ErrorCode.NOT_HELD
-        if self.is_leaving or self._was_silent:
+        if self.is_leaving or self._is_silent:
             return ErrorCode.DRAINING
         return None
 
     def cold_left(self, now: float) -> float:
-        """Return for how long the application is still slow, in seconds."""
+        """Return the remaining warm-up time of the application, in seconds."""
         return max(0.0, self.cold_until - now)
--- a/packages/lanedock/lanedock/membership/registry.py
+++ b/packages/lanedock/lanedock/membership/registry.py
@@ -1,11 +1,11 @@
 # SPDX-License-Identifier: BSD-3-Clause
-"""Endpoints as daemons register them, merged from what control instances report.
+"""Registry of the endpoints that daemons register, merged from the control instances' reports.
 
-Nobody lists the instances: an upstream registers itself at its daemon, the
-daemon reports it to its control instance, and the control instances report to
-each other. What is freshest by the daemon's incarnation and revision counts;
-an incarnation of an application that leaves does so for good, whatever comes later of it. A
-daemon that stops makes its upstream leave, too, until it is started again.
+It serves deployments without a platform list: an upstream registers at its daemon, the daemon
+reports it to its control instance, and the control instances report to each other. Of several
+reports on an endpoint, the one with the highest daemon incarnation and revision counts. An
+incarnation of an application that has ended never takes requests again, whatever later reports
+say. A daemon that stops makes its upstream leave, too, but only until the daemon is restarted.
 """
 
 from lanedock.membership.changes import EndpointChanges
@@ -14,12 +14,12 @@
 
 __all__ = ["EndpointRegistry", "freshness", "incarnation_of"]
 
-# Incarnations of applications that have left, remembered for late reports.
-MAX_LEFT = 4096
+# Number of ended application incarnations to remember, so that delayed reports do not restore them.
+MAX_ENDED_INCARNATIONS = 4096
 
 
-class _Source:
-    """What one control instance has reported."""
+class _ReplicaReport:
+    """Endpoints that another control instance has reported."""
 
     __slots__ = ("endpoints", "sequence")
 
@@ -29,24 +29,26 @@
 
 
 class EndpointRegistry(EndpointChanges):
-    """All registered endpoints. Pure.
+    """All registered endpoints of the mesh.
+
+    Performs no I/O and reads no clock.
 
     Parameters
     ----------
     window : float
-        Seconds that changes are gathered.
+        Seconds for which changes are batched.
     keep : float
-        Seconds for which an endpoint is kept that nobody reports any more:
-        its daemon may only have lost its control instance.
+        Seconds for which an endpoint is retained after the last control instance has stopped
+        reporting it: its daemon may only have lost the connection to its control instance.
     """
 
     def __init__(self, window: float, keep: float):
         super().__init__(window)
-        self._keep = keep
-        self._own: dict[str, messages.Endpoint] = {}
-        self._sources: dict[str, _Source] = {}
+        self._retention = keep
+        self._registered: dict[str, messages.Endpoint] = {}
+        self._replica_reports: dict[str, _ReplicaReport] = {}
         self._missing_since: dict[str, float] = {}
-        self._left: dict[Incarnation, None] = {}
+        self._ended_incarnations: dict[Incarnation, None] = {}
         self._changed: set[str] = set()
         self._gone: set[str] = set()
         self._report_sequence = 0
@@ -54,39 +56,39 @@
     # ------------------------------------------------------------------ inputs
 
     def register(self, endpoint: messages.Endpoint, now: float) -> None:
-        """Accept what a daemon connected here registers."""
+        """Process the registration of a daemon that is connected to this control instance."""
         name = endpoint.instance
-        known = self._own.get(name)
+        known = self._registered.get(name)
         if known is not None and freshness(endpoint) < freshness(known):
             return
         if known == endpoint:
             return
-        self._own[name] = endpoint
+        self._registered[name] = endpoint
         self._changed.add(name)
         self._gone.discard(name)
-        self._merge(name, now)
+        self._update_endpoint(name, now)
 
     def unregister(self, name: str, now: float) -> None:
-        """Note that a daemon is connected here no more."""
-        if self._own.pop(name, None) is not None:
+        """Remove the registration of a daemon that has disconnected from this control instance."""
+        if self._registered.pop(name, None) is not None:
             self._changed.discard(name)
             self._gone.add(name)
-            self._merge(name, now)
+            self._update_endpoint(name, now)
 
     def take_report(self, replica: str, report: messages.EndpointReport, now: float) -> bool:
-        """Accept another control instance's report.
+        """Process another control instance's report.
 
         Returns
         -------
         bool
-            False where reports before it are missing, so a whole one is wanted.
+            False if an earlier report is missing, so that a whole report is needed.
         """
-        source = self._sources.get(replica)
-        touched = {endpoint.instance for endpoint in report.changed} | set(report.gone)
+        source = self._replica_reports.get(replica)
+        affected = {endpoint.instance for endpoint in report.changed} | set(report.gone)
         if report.whole:
             if source is not None:
-                touched |= set(source.endpoints)
-            source = self._sources[replica] = _Source()
+                affected |= set(source.endpoints)
+            source = self._replica_reports[replica] = _ReplicaReport()
         elif source is None or report.sequence != source.sequence + 1:
             return False
         source.sequence = report.sequence
@@ -94,88 +96,91 @@
             source.endpoints[endpoint.instance] = endpoint
         for name in report.gone:
             source.endpoints.pop(name, None)
-        for name in touched:
-            self._merge(name, now)
+        for name in affected:
+            self._update_endpoint(name, now)
         return True
 
     def forget_source(self, replica: str, now: float) -> None:
-        """Drop the reports of a control instance that is silent."""
-        source = self._sources.pop(replica, None)
+        """Discard the reports of a control instance that no longer responds."""
+        source = self._replica_reports.pop(replica, None)
         for name in source.endpoints if source else ():
-            self._merge(name, now)
+            self._update_endpoint(name, now)
 
     def expire(self, now: float) -> None:
-        """Drop the endpoints that nobody has reported for too long."""
+        """Remove the endpoints that no control instance has reported for the retention period."""
         for name, since in list(self._missing_since.items()):
-            if now - since > self._keep:
+            if now - since > self._retention:
                 del self._missing_since[name]
-                self._change(name, None, now)
+                self._queue_change(name, None, now)
 
     # ----------------------------------------------------------------- outputs
 
     def is_report_due(self) -> bool:
-        """Tell whether there is something new for the other control instances."""
+        """Return whether there are changes to report to the other control instances."""
         return bool(self._changed or self._gone)
 
     def make_report(self) -> messages.EndpointReport:
-        """Return what has changed here since the last report."""
+        """Return a report of the registrations that have changed since the last report."""
         self._report_sequence += 1
         report = messages.EndpointReport(sequence=self._report_sequence)
-        report.changed.extend(self._own[name] for name in sorted(self._changed))
+        report.changed.extend(self._registered[name] for name in sorted(self._changed))
         report.gone.extend(sorted(self._gone))
         self._changed = set()
         self._gone = set()
         return report
 
     def whole_report(self) -> messages.EndpointReport:
-        """Return all that is registered here, for a control instance that missed a report."""
+        """Return a report of all registrations, for a control instance that has missed a report."""
         report = messages.EndpointReport(sequence=self._report_sequence, whole=True)
-        # What is still to be reported comes once more with the next report.
-        report.changed.extend(self._own[name] for name in sorted(self._own))
+        # Changes that are not yet reported are included here and again in the next report.
+        report.changed.extend(self._registered[name] for name in sorted(self._registered))
         return report
 
     # ----------------------------------------------------------------- merging
 
-    def _merge(self, name: str, now: float) -> None:
-        """Bring one endpoint up to date with all that is reported of it."""
-        reported = [source.endpoints[name] for source in self._sources.values() if name in source.endpoints]
-        if name in self._own:
-            reported.append(self._own[name])
-        current = self._current(name)
+    def _update_endpoint(self, name: str, now: float) -> None:
+        """Update one endpoint from all registrations and reports of it."""
+        reported = [source.endpoints[name] for source in self._replica_reports.values() if name in source.endpoints]
+        if name in self._registered:
+            reported.append(self._registered[name])
+        current = self._latest(name)
         if not reported:
             if current is not None:
                 self._missing_since.setdefault(name, now)
             return
         self._missing_since.pop(name, None)
-        best = max(reported, key=freshness)
-        if current is not None and freshness(best) < freshness(current):
+        freshest = max(reported, key=freshness)
+        if current is not None and freshness(freshest) < freshness(current):
             return
         merged = messages.Endpoint()
-        merged.CopyFrom(best)
-        self._note_left(merged)
+        merged.CopyFrom(freshest)
+        self._apply_ended(merged)
         if merged != current:
-            self._change(name, merged, now)
+            self._queue_change(name, merged, now)
+
+    def _apply_ended(self, endpoint: messages.Endpoint) -> None:
+        """Record an ended incarnation, or mark an endpoint as ended if its incarnation has ended before.
 
-    def _note_left(self, endpoint: messages.Endpoint) -> None:
-        """Keep an incarnation that has left from coming back; its id may, with another start."""
+        The same id may return with another start time.
+        """
         if not endpoint.upstream:
             return
         incarnation = incarnation_of(endpoint)
         if endpoint.ended:
-            # Its start may not be known to who reports it next: a daemon that was restarted.
-            for left in (incarnation, Incarnation(endpoint.upstream)):
-                self._left[left] = None
-            while len(self._left) > MAX_LEFT:
-                del self._left[next(iter(self._left))]
-        elif incarnation in self._left:
+            # A restarted daemon may report the incarnation next, without knowing its start time.
+            for ended in (incarnation, Incarnation(endpoint.upstream)):
+                self._ended_incarnations[ended] = None
+            while len(self._ended_incarnations) > MAX_ENDED_INCARNATIONS:
+                del self._ended_incarnations[next(iter(self._ended_incarnations))]
+        elif incarnation in self._ended_incarnations:
             endpoint.ended = endpoint.leaving = True
 
 
 def incarnation_of(endpoint: messages.Endpoint) -> Incarnation:
-    """Return the incarnation of the application behind an endpoint."""
+    """Return the incarnation of an endpoint's application."""
     return Incarnation(endpoint.upstream, endpoint.upstream_started)
 
 
 def freshness(endpoint: messages.Endpoint) -> tuple[int, int]:
-    """Return what grows with every change of an endpoint: its daemon's incarnation, and the revision under it."""
+    """Return a sort key that increases with every change of an endpoint: daemon incarnation and revision."""
     return (endpoint.incarnation, endpoint.revision)
--- a/packages/lanedock/lanedock/membership/sources.py
+++ b/packages/lanedock/lanedock/membership/sources.py
@@ -8,11 +8,12 @@
 
 __all__ = ["FilePlatformList", "HttpPlatformList", "make_platform_list"]
 
+# Seconds.
 DEFAULT_TIMEOUT = 2.0
 
 
 class FilePlatformList(PlatformList):
-    """A list in a file that the platform rewrites.
+    """A platform list that is read from a file.
 
     Parameters
     ----------
@@ -36,14 +37,14 @@
 
 
 class HttpPlatformList(PlatformList):
-    """A list that the platform serves as JSON over HTTP.
+    """A platform list that is fetched as JSON over HTTP.
 
     Parameters
     ----------
     url : str
-        With an IP number for a host.
+        ``http://`` URL whose host is an IP address.
     timeout : float
-        Seconds.
+        Timeout for connecting and for each network operation, in seconds.
     """
 
     def __init__(self, url: str, timeout: float = DEFAULT_TIMEOUT):
@@ -61,13 +62,15 @@
         url = URL(self._url)
         client = HTTPClient.from_url(url, connection_timeout=self._timeout, network_timeout=self._timeout)
         try:
-            answer = client.get(url.request_uri)
-            if answer.status_code != 200:
-                raise LanedockError(ErrorCode.PLATFORM_UNREADABLE, f"{self._url} answers {answer.status_code}")
-            text = bytes(answer.read()).decode()
+            response = client.get(url.request_uri)
+            if response.status_code != 200:
+                raise LanedockError(
+                    ErrorCode.PLATFORM_UNREADABLE, f"{self._url}: HTTP status {response.status_code}, expected 200"
+                )
+            text = bytes(response.read()).decode()
         except LanedockError:
             raise
-        except Exception as exc:  # the client raises its parser's and the socket's errors
+        except Exception as exc:  # the client raises parser and socket errors
             raise LanedockError(ErrorCode.PLATFORM_UNREADABLE, f"{self._url}: {exc!r}") from exc
         finally:
             client.close()
@@ -76,7 +79,7 @@
 
 
 def make_platform_list(address: str) -> PlatformList:
-    """Make the list for an address: an ``http://`` URL or a file's path."""
+    """Create the platform list for an address: an ``http://`` URL or a file path."""
     if address.startswith("http://"):
         return HttpPlatformList(address)
     return FilePlatformList(address)
--- a/packages/lanedock/lanedock/membership/tests/test_directory.py
+++ b/packages/lanedock/lanedock/membership/tests/test_directory.py
@@ -1,5 +1,5 @@
 # SPDX-License-Identifier: BSD-3-Clause
-"""Tests of the directory of endpoints, and of the platform's list."""
+"""Tests of the endpoint directory and of the platform's list."""
 
 import pytest
 
@@ -13,49 +13,49 @@
     return Instance(name, "z", "s", "h", port, state, incarnation)
 
 
-def _told(update) -> dict[str, bool]:
+def _leaving_by_instance(update) -> dict[str, bool]:
     return {endpoint.instance: endpoint.leaving for endpoint in update.changed} if update else {}
 
 
 @pytest.fixture
 def directory():
-    made = Directory(WINDOW)
-    made.take_list([_instance("a"), _instance("b")], 0.0)
-    assert _told(made.take_update(WINDOW)) == {"a": False, "b": False}
-    return made
+    filled = Directory(WINDOW)
+    filled.take_list([_instance("a"), _instance("b")], 0.0)
+    assert _leaving_by_instance(filled.take_update(WINDOW)) == {"a": False, "b": False}
+    return filled
 
 
-def test_changes_are_gathered_in_the_window(directory):
+def test_changes_are_batched_within_the_window(directory):
     directory.take_list([_instance("a"), _instance("b"), _instance("c")], 1.0)
     directory.take_list([_instance("a", port=2), _instance("b"), _instance("c")], 1.2)
     assert directory.take_update(1.4) is None
-    assert _told(directory.take_update(1.5)) == {"a": False, "c": False}
+    assert _leaving_by_instance(directory.take_update(1.5)) == {"a": False, "c": False}
     assert directory.take_update(9.0) is None
 
 
-@pytest.mark.parametrize("how", ["list", "drain", "gone"])
-def test_leaving_is_never_held_back(directory, how):
-    if how == "list":
+@pytest.mark.parametrize("cause", ["list", "drain", "gone"])
+def test_leaving_or_removed_instance_is_sent_immediately(directory, cause):
+    if cause == "list":
         directory.take_list([_instance("a", InstanceState.LEAVING), _instance("b")], 1.0)
-    elif how == "drain":
+    elif cause == "drain":
         assert directory.drain("a", 7, 1.0)
     else:
         directory.take_list([_instance("b")], 1.0)
     update = directory.take_update(1.0)
-    assert _told(update) == ({} if how == "gone" else {"a": True})
-    assert list(update.gone) == (["a"] if how == "gone" else [])
+    assert _leaving_by_instance(update) == ({} if cause == "gone" else {"a": True})
+    assert list(update.gone) == (["a"] if cause == "gone" else [])
 
 
-def test_a_list_that_lags_does_not_bring_a_leaving_one_back(directory):
+def test_outdated_list_does_not_revive_a_leaving_instance(directory):
     directory.take_list([_instance("a", InstanceState.LEAVING), _instance("b")], 1.0)
     directory.take_update(1.0)
     directory.take_list([_instance("a"), _instance("b")], 2.0)
     assert directory.take_update(9.0) is None
     directory.take_list([_instance("a", incarnation=2), _instance("b")], 10.0)
-    assert _told(directory.take_update(11.0)) == {"a": False}
+    assert _leaving_by_instance(directory.take_update(11.0)) == {"a": False}
 
 
-def test_a_drained_one_is_back_once_its_daemon_was_started_anew(directory):
+def test_drained_instance_returns_after_its_daemon_restarts(directory):
     assert directory.drain("a", 7, 1.0)
     assert not directory.drain("a", 7, 1.0)
     directory.take_update(1.0)
@@ -64,17 +64,17 @@
     assert directory.take_update(9.0) is None
     directory.revive("a", 8)
     directory.take_list([_instance("a"), _instance("b")], 10.0)
-    assert _told(directory.take_update(11.0)) == {"a": False}
+    assert _leaving_by_instance(directory.take_update(11.0)) == {"a": False}
 
 
-def test_a_whole_update_holds_what_was_told(directory):
+def test_whole_update_contains_all_sent_endpoints(directory):
     directory.drain("b", 1, 1.0)
     directory.take_update(1.0)
-    assert _told(directory.whole_update()) == {"a": False, "b": True}
+    assert _leaving_by_instance(directory.whole_update()) == {"a": False, "b": True}
 
 
 @pytest.mark.parametrize("text", ["", "{}", '{"instances": [{"name": "a"}]}', '{"instances": 7}', '{"instances": [7]}'])
-def test_a_bad_list_is_taken_not_at_all(tmp_path, text):
+def test_list_without_valid_entries_is_rejected(tmp_path, text):
     path = tmp_path / "list.json"
     path.write_text(text, encoding="utf-8")
     with pytest.raises(LanedockError) as caught:
@@ -82,7 +82,7 @@
     assert caught.value.code is ErrorCode.PLATFORM_UNREADABLE
 
 
-def test_a_list_is_parsed():
+def test_valid_list_is_parsed():
     text = '{"instances": [{"name": "a", "zone": "z", "host": "1.2.3.4", "port": 5, "state": "leaving"}]}'
     (instance,) = parse_instances(text, "l")
     assert (instance.service, instance.state, instance.incarnation) == ("", InstanceState.LEAVING, 1)
@@ -103,10 +103,10 @@
         '{"name": "b\\ud800", "zone": "z", "host": "1.2.3.4", "port": 5}',
     ],
 )
-def test_an_entry_that_cannot_be_read_names_no_instance_and_the_others_hold(tmp_path, entry):
+def test_invalid_entry_is_skipped_and_the_others_are_used(tmp_path, entry):
     path = tmp_path / "list.json"
-    sound = '{"name": "a", "zone": "z", "host": "1.2.3.4", "port": 5}'
-    path.write_text(f'{{"instances": [{entry}, {sound}]}}', encoding="utf-8")
+    valid = '{"name": "a", "zone": "z", "host": "1.2.3.4", "port": 5}'
+    path.write_text(f'{{"instances": [{entry}, {valid}]}}', encoding="utf-8")
     source = FilePlatformList(str(path))
     assert [instance.name for instance in source.read()] == ["a"]
     assert source.findings[0].place.path.startswith("/instances/0")
--- a/packages/lanedock/lanedock/membership/upstream_report.py
+++ b/packages/lanedock/lanedock/membership/upstream_report.py
@@ -1,27 +1,27 @@
 # SPDX-License-Identifier: BSD-3-Clause
-"""What an application reports of itself in any of its answers."""
+"""Status that an application reports in its answers."""
 
 import math
 
 __all__ = ["UpstreamReport", "read_rate"]
 
-# Characters of a rate that are read: any rate in use is far shorter.
+# Maximum number of characters of a rate limit; practical values are far shorter.
 _MAX_RATE_TEXT = 32
 
 
 class UpstreamReport:
-    """What one answer of an application states of the application itself, not of the request.
+    """Status of the application itself, as stated in one of its answers.
 
-    Answers to requests, refusals and health checks all carry it.
+    Answers to requests and to health checks, and refusals, all contain it.
 
     Parameters
     ----------
     is_draining : bool
-        Whether the application takes no new work any more.
+        Whether the application takes no new requests.
     rate_limit : float, optional
-        Requests a second that it takes from all callers together; None where it states none.
+        Requests per second that it accepts from all callers together; None if not stated.
     unreadable : str
-        A rate limit that can't be read, shortened; empty where there is none.
+        Truncated text of a rate limit that cannot be parsed; empty if there is none.
     """
 
     __slots__ = ("is_draining", "rate_limit", "unreadable")
@@ -35,7 +35,7 @@
         return f"<UpstreamReport draining={self.is_draining} rate_limit={self.rate_limit}>"
 
     def note_rate(self, text: str) -> None:
-        """Take over a rate limit as an answer has it; one that can't be read, or a second one, makes it unreadable."""
+        """Parse a rate limit from an answer; an invalid or a second value marks it as unreadable."""
         rate = read_rate(text)
         if rate is None or self.unreadable or self.rate_limit is not None:
             self.rate_limit = None
@@ -45,7 +45,7 @@
 
 
 def read_rate(text: str) -> float | None:
-    """Return a rate, requests a second; None where it is no finite number of 0 or more."""
+    """Parse a rate limit in requests per second; return None unless it is a finite number of at least 0."""
     text = text.strip(" \t")
     if len(text) > _MAX_RATE_TEXT or not text.isascii() or "_" in text:
         return None
