--- a/packages/lanedock/lanedock/membership/advertised_rate.py
+++ b/packages/lanedock/lanedock/membership/advertised_rate.py
@@ -7,7 +7,7 @@
 # answers have lacked it since. Single answers without it, or answers that arrive out of order, do not end it.
 _EXPIRY_SECONDS = 1.0
 _EXPIRY_ANSWERS = 2
-# Smallest relative change of the rate that is published to the mesh; the daemon itself uses the exact rate.
+# Relative change of the rate above which it is published to the mesh; the daemon itself uses the exact rate.
 _PUBLISH_THRESHOLD = 0.1
 
 
@@ -78,8 +78,8 @@
         self._stated_at = now
         return True
 
-    def take_news(self) -> bool:
-        """Return whether the limit has to be published to the mesh, and mark it as published."""
+    def mark_published_if_changed(self) -> bool:
+        """Mark the limit as published if the mesh has to learn of a change; return whether it has to."""
         if not self._differs_from_published():
             return False
         self._published = self.rate
--- a/packages/lanedock/lanedock/membership/registration.py
+++ b/packages/lanedock/lanedock/membership/registration.py
@@ -346,11 +346,11 @@
         is_learned = self.version == UNKNOWN_VERSION != version
         if is_learned:
             self.version = version
-        is_news = is_leaving and not self.is_leaving
+        has_begun_leaving = is_leaving and not self.is_leaving
         self.is_leaving = self.is_leaving or is_leaving
-        if is_news or is_learned:
+        if has_begun_leaving or is_learned:
             self.revision += 1
-        return is_news or is_learned
+        return has_begun_leaving or is_learned
 
     def learn_version(self, version: str) -> None:
         """Use the version that the mesh knows if the application has reported none."""
@@ -384,7 +384,7 @@
             self.advertised.note_unreadable(now)
             return False
         is_changed = self.advertised.note(report.rate_limit, now)
-        if self.advertised.take_news():
+        if self.advertised.mark_published_if_changed():
             self.revision += 1
         return is_changed
 
--- a/packages/lanedock/lanedock/membership/registry.py
+++ b/packages/lanedock/lanedock/membership/registry.py
@@ -47,7 +47,7 @@
         self._retention = keep
         self._registered: dict[str, messages.Endpoint] = {}
         self._replica_reports: dict[str, _ReplicaReport] = {}
-        self._missing_since: dict[str, float] = {}
+        self._unreported_since: dict[str, float] = {}
         self._ended_incarnations: dict[Incarnation, None] = {}
         self._changed: set[str] = set()
         self._gone: set[str] = set()
@@ -108,9 +108,9 @@
 
     def expire(self, now: float) -> None:
         """Remove the endpoints that no control instance has reported for the retention period."""
-        for name, since in list(self._missing_since.items()):
+        for name, since in list(self._unreported_since.items()):
             if now - since > self._retention:
-                del self._missing_since[name]
+                del self._unreported_since[name]
                 self._queue_change(name, None, now)
 
     # ----------------------------------------------------------------- outputs
@@ -146,9 +146,9 @@
         current = self._latest(name)
         if not reported:
             if current is not None:
-                self._missing_since.setdefault(name, now)
+                self._unreported_since.setdefault(name, now)
             return
-        self._missing_since.pop(name, None)
+        self._unreported_since.pop(name, None)
         freshest = max(reported, key=freshness)
         if current is not None and freshness(freshest) < freshness(current):
             return
--- a/packages/lanedock/lanedock/membership/tests/test_advertised_rate.py
+++ b/packages/lanedock/lanedock/membership/tests/test_advertised_rate.py
@@ -73,7 +73,7 @@
     published = []
     for rate in (16.0, 16.5, 15.5, 17.0, 20.0, 20.1, 0.0, 0.0, 5.0):
         advertised.note(rate, 0.0)
-        if advertised.take_news():
+        if advertised.mark_published_if_changed():
             published.append(rate)
     assert published == [16.0, 20.0, 0.0, 5.0]
 
--- a/packages/lanedock/lanedock/rollout/coordinator.py
+++ b/packages/lanedock/lanedock/rollout/coordinator.py
@@ -135,9 +135,9 @@
             return [messages.FindingRecord(code=code.code, message="the platform's list has never been read")]
         findings = []
         for name in sorted(unstaged):
-            zone = connected[name].zone if name in connected else self._fleet.zone_of(name)
+            zone_name = connected[name].zone if name in connected else self._fleet.zone_of(name)
             problem = "has not staged the version in time" if name in connected else "is not connected"
-            message = f"daemon {name} in {zone or 'an unknown zone'} {problem}"
+            message = f"daemon {name} in {zone_name or 'an unknown zone'} {problem}"
             findings.append(messages.FindingRecord(code=ErrorCode.STAGING_TIMEOUT.code, message=message))
         return findings
 
--- a/packages/lanedock/lanedock/rollout/distributor.py
+++ b/packages/lanedock/lanedock/rollout/distributor.py
@@ -96,7 +96,7 @@
         """Add a daemon that has just connected."""
         child = Child(state)
         self.children[state.daemon] = child
-        self._note_changed(child, state)
+        self._record_change(child, state)
         return child
 
     def update(self, child: Child, state: messages.DaemonState) -> None:
@@ -104,7 +104,7 @@
         if state.want_whole:
             child.sent_stage = child.sent_in_force = Version()
         child.state = state
-        self._note_changed(child, state)
+        self._record_change(child, state)
 
     def take_relayed(self, child: Child, report: messages.FleetReport) -> None:
         """Process a relay's report on the daemons downstream of it."""
@@ -112,29 +112,29 @@
             reported = {state.daemon for state in report.changed}
             for name, owner in list(self._child_by_daemon.items()):
                 if owner is child and name not in reported and name != child.state.daemon:
-                    self._note_gone(child, name)
+                    self._record_removal(child, name)
         for state in report.changed:
-            self._note_changed(child, state)
+            self._record_change(child, state)
         for name in report.gone:
-            self._note_gone(child, name)
+            self._record_removal(child, name)
 
     def disconnect(self, child: Child) -> None:
         """Remove a daemon and those downstream of it, except any that have connected again since."""
         name = child.state.daemon
         if self.children.get(name) is child:
             del self.children[name]
-        for other, owner in list(self._child_by_daemon.items()):
+        for reported_name, owner in list(self._child_by_daemon.items()):
             if owner is child:
-                self._note_gone(child, other)
+                self._record_removal(child, reported_name)
 
-    def _note_changed(self, child: Child, state: messages.DaemonState) -> None:
+    def _record_change(self, child: Child, state: messages.DaemonState) -> None:
         name = state.daemon
         self._child_by_daemon[name] = child
         self._daemon_states[name] = state
         self._changed.add(name)
         self._gone.discard(name)
 
-    def _note_gone(self, child: Child, name: str) -> None:
+    def _record_removal(self, child: Child, name: str) -> None:
         if self._child_by_daemon.get(name) is not child:
             return
         del self._child_by_daemon[name]
--- a/packages/lanedock/lanedock/rollout/fleet.py
+++ b/packages/lanedock/lanedock/rollout/fleet.py
@@ -61,22 +61,22 @@
         bool
             False if an earlier report is missing, so that a whole report is needed.
         """
-        known = self._reports.get(replica)
+        replica_report = self._reports.get(replica)
         if report.whole:
-            known = self._reports[replica] = _ReplicaReport(now)
-        elif known is None or report.sequence != known.sequence + 1:
+            replica_report = self._reports[replica] = _ReplicaReport(now)
+        elif replica_report is None or report.sequence != replica_report.sequence + 1:
             return False
-        known.sequence = report.sequence
-        known.heard_at = now
+        replica_report.sequence = report.sequence
+        replica_report.heard_at = now
         for state in report.changed:
-            known.daemons[state.daemon] = state
+            replica_report.daemons[state.daemon] = state
         for name in report.gone:
-            state = known.daemons.pop(name, None)
+            state = replica_report.daemons.pop(name, None)
             if state is not None:
                 self._last_seen[name] = now
         for attestation in report.attestations:
-            attestations = self._attestations.setdefault(attestation.instance, {})
-            attestations[attestation.attester] = (attestation.reachable, now)
+            by_attester = self._attestations.setdefault(attestation.instance, {})
+            by_attester[attestation.attester] = (attestation.reachable, now)
         return True
 
     def drop_silent(self, now: float) -> None:
--- a/packages/lanedock/lanedock/rollout/tests/test_rollout.py
+++ b/packages/lanedock/lanedock/rollout/tests/test_rollout.py
@@ -198,9 +198,9 @@
 
 @pytest.fixture
 def fleet():
-    fleet = Fleet()
-    submit(fleet.state, 1)
-    return fleet
+    new_fleet = Fleet()
+    submit(new_fleet.state, 1)
+    return new_fleet
 
 
 class TestCoordinator:
