--- a/packages/lanedock-daemon/lanedock_daemon/path/__init__.py
+++ b/packages/lanedock-daemon/lanedock_daemon/path/__init__.py
@@ -1,2 +1,2 @@
 # SPDX-License-Identifier: BSD-3-Clause
-"""The request path: from callers through daemons to upstreams."""
+"""The request path: HTTP servers and clients that pass requests from callers to upstreams."""
--- a/packages/lanedock-daemon/lanedock_daemon/path/answer_writer.py
+++ b/packages/lanedock-daemon/lanedock_daemon/path/answer_writer.py
@@ -1,11 +1,11 @@
 # SPDX-License-Identifier: BSD-3-Clause
-"""Writing the body of an answer, piece by piece, and letting go of what it holds."""
+"""Writing answers piece by piece, and releasing the resources of their bodies."""
 
 __all__ = ["close_pieces", "write_pieces"]
 
 
 def write_pieces(conn, head: bytes, pieces, is_chunked: bool) -> None:
-    """Write an answer; its head goes with the first piece of its body.
+    """Write an answer; its head is sent together with the first piece of its body.
 
     Parameters
     ----------
@@ -18,7 +18,7 @@
     Raises
     ------
     OSError
-        The caller has gone, or the body has broken off.
+        The caller has disconnected, or the body broke off.
     """
     pending = head
     for piece in pieces:
@@ -35,7 +35,7 @@
 
 
 def close_pieces(pieces) -> None:
-    """Read no more of an answer's body, where it can be told so."""
+    """Release the resources of an answer's body, if it has a `close` method."""
     close = getattr(pieces, "close", None)
     if close is not None:
         close()
--- a/packages/lanedock-daemon/lanedock_daemon/path/channel.py
+++ b/packages/lanedock-daemon/lanedock_daemon/path/channel.py
@@ -1,11 +1,11 @@
 # SPDX-License-Identifier: BSD-3-Clause
-"""A TCP connection of the request path, cheaper than gevent's socket.
+"""A TCP connection of the request path with less overhead than gevent's socket.
 
 gevent's socket tries each read before it waits, asks the kernel for the size of
-its buffer before each write, and makes a timer for each wait. On the request
-path the bytes that are read for are hardly ever there yet. So a read waits
-first, the watcher for reading stays active from one read to the next, and one
-timer serves all waits of a connection.
+its buffer before each write, and creates a timer for each wait. On the request
+path data has hardly ever arrived when it is read. So `Channel` waits before each
+read, keeps the read watcher active between reads, and uses one timer for all
+waits of a connection.
 """
 
 import _socket
@@ -19,21 +19,21 @@
 
 __all__ = ["Channel"]
 
-_READ = 1
-# For SO_LINGER: on, for no time.
-_RESET = struct.pack("ii", 1, 0)
+_READ_EVENT = 1
+# Value of SO_LINGER: enabled, 0 s. Closing the socket then sends a reset.
+_ABORTIVE_CLOSE = struct.pack("ii", 1, 0)
 _READY = object()
 _EXPIRED = object()
 _CLOSED = object()
 
 
 class Channel:
-    """A connected socket; one task at a time reads from it.
+    """A connected non-blocking socket, read by at most one greenlet at a time.
 
     Parameters
     ----------
     conn : gevent.socket.socket
-        Connected. Its descriptor is taken over.
+        Connected socket; the channel takes over its descriptor.
     """
 
     __slots__ = (
@@ -52,11 +52,11 @@
 
     def __init__(self, conn):
         family, kind, proto = conn.family, conn.type, conn.proto
-        # The plain C object: gevent's has watchers of its own.
+        # The plain C socket: gevent's socket would create its own watchers.
         self._sock = _socket.socket(family, kind, proto, conn.detach())
         self._sock.setblocking(False)
         self._loop = get_hub().loop
-        self._watcher = self._loop.io(self._sock.fileno(), _READ)
+        self._watcher = self._loop.io(self._sock.fileno(), _READ_EVENT)
         self._timer = None
         self._timeout: float | None = None
         self._deadline = NEVER
@@ -70,31 +70,31 @@
         return f"<Channel fd={self._sock.fileno()}>"
 
     def settimeout(self, timeout: float | None) -> None:
-        """Set the longest wait of one read or write, in seconds; None for any. A deadline ends."""
+        """Limit the wait of each read or write, in seconds; None for no limit. Clears the deadline."""
         self._timeout = timeout
         self._deadline = NEVER
 
     def set_deadline(self, deadline: float) -> None:
-        """Set when all waits from now on end together, monotonic seconds.
+        """Set a common deadline for all later waits, in monotonic seconds. Clears the timeout.
 
-        What has come by then is still read: it is at hand.
+        Data that has arrived by then can still be read.
         """
         self._timeout = None
         self._deadline = deadline
 
     def reset_on_close(self) -> None:
-        """Have `close` reset the connection, so that nobody takes its end for the end of a message."""
-        self._sock.setsockopt(_socket.SOL_SOCKET, _socket.SO_LINGER, _RESET)
+        """Make `close` reset the connection, so that the peer doesn't take its end for the end of a message."""
+        self._sock.setsockopt(_socket.SOL_SOCKET, _socket.SO_LINGER, _ABORTIVE_CLOSE)
 
     def shutdown(self, how: int) -> None:
-        """End one direction, as a socket's own method does."""
+        """Shut down one direction, as `socket.socket.shutdown` does."""
         self._sock.shutdown(how)
 
     def is_clean(self) -> bool:
-        """Tell whether a connection is open and silent.
+        """Tell whether the connection is open and has no unread data.
 
-        A readable one is closed, or has bytes on it that nobody has read. Behind such bytes its
-        end can't be seen: the kernel sends a process's last bytes after it has ended.
+        A readable connection was closed by the peer or has unread data. Unread data hides a
+        close that follows it: the kernel still delivers a process's last bytes after its end.
         """
         if self._is_readable or self._is_closed:
             return False
@@ -109,13 +109,13 @@
     # ------------------------------------------------------------------ reading
 
     def recv(self, size: int) -> bytes:
-        """Return up to `size` bytes once there are some; empty at the end.
+        """Wait for data and return up to `size` bytes; empty at the end of the stream.
 
         Raises
         ------
         TimeoutError
         OSError
-            The connection broke, or was closed meanwhile.
+            The connection broke, or was closed during the wait.
         """
         is_in_time = True
         if self._is_readable:
@@ -131,7 +131,7 @@
                 is_in_time = self._wait_readable()
 
     def wait(self, timeout: float) -> bool:
-        """Wait for bytes, or for the connection's end; False where nothing came in time.
+        """Wait for data or the end of the stream; return False if neither came within the timeout.
 
         Parameters
         ----------
@@ -140,32 +140,32 @@
         """
         if self._is_readable:
             return True
-        kept, self._timeout = self._timeout, max(0.0, timeout)
+        previous_timeout, self._timeout = self._timeout, max(0.0, timeout)
         try:
             self._is_readable = self._wait_readable()
         finally:
-            self._timeout = kept
+            self._timeout = previous_timeout
         return self._is_readable
 
     def _wait_readable(self) -> bool:
-        """Wait until there is something to read; False where the time was over first."""
+        """Wait until the socket is readable; return False if the timeout or deadline passed first."""
         if self._is_closed:
             raise ConnectionError("the connection was closed")
         if not self._watcher.active:
             self._watcher.start(self._on_readable)
         if self._timeout is not None:
-            self._arm(monotonic() + self._timeout)
+            self._set_timer(monotonic() + self._timeout)
         elif self._deadline == NEVER:
             self._expires_at = NEVER
         elif self._deadline <= monotonic():
             return False
         else:
-            self._arm(self._deadline)
+            self._set_timer(self._deadline)
         self._reader = getcurrent()
         hub = self._reader.parent if self._reader.parent is not None else get_hub()
         outcome = None
         try:
-            # Whoever else wakes this task has no word on the connection.
+            # A switch with any other value is an unrelated wake-up of this greenlet.
             while outcome not in (_READY, _EXPIRED, _CLOSED):
                 outcome = hub.switch()
         finally:
@@ -175,7 +175,7 @@
         return outcome is _READY
 
     def _on_readable(self) -> None:
-        """Hand what came to the reader; without one, note that something came."""
+        """Wake the reader; without a reader, record that the socket is readable."""
         if self._reader is not None:
             self._wake(_READY)
             return
@@ -186,8 +186,8 @@
         reader, self._reader = self._reader, None
         reader.switch(outcome)
 
-    def _arm(self, expires_at: float) -> None:
-        """Have the wait end at a time; a timer that fires sooner serves, too."""
+    def _set_timer(self, expires_at: float) -> None:
+        """Set when the current wait ends; a running timer that fires earlier is kept and restarted then."""
         self._expires_at = expires_at
         if self._timer is not None:
             if self._timer.active and self._fires_at <= expires_at:
@@ -202,19 +202,19 @@
 
     def _on_timer(self) -> None:
         self._timer.stop()
-        left = self._expires_at - monotonic()
+        remaining = self._expires_at - monotonic()
         if self._reader is None or self._expires_at == NEVER:
             return
-        if left <= 0:
+        if remaining <= 0:
             self._wake(_EXPIRED)
         else:
             self._timer.close()
-            self._start_timer(left)
+            self._start_timer(remaining)
 
     # ------------------------------------------------------------------ writing
 
     def sendall(self, data: bytes) -> None:
-        """Write all of it.
+        """Write all of `data`.
 
         Raises
         ------
@@ -242,7 +242,7 @@
                 continue
 
     def close(self) -> None:
-        """Close it; a task that reads is woken by an error."""
+        """Close the connection; a greenlet that waits in a read gets a `ConnectionError`."""
         if self._is_closed:
             return
         self._is_closed = True
--- a/packages/lanedock-daemon/lanedock_daemon/path/connection.py
+++ b/packages/lanedock-daemon/lanedock_daemon/path/connection.py
@@ -1,5 +1,5 @@
 # SPDX-License-Identifier: BSD-3-Clause
-"""One caller's connection."""
+"""HTTP/1.1 connections from callers: pipelining, response order and closing."""
 
 import socket as plain_socket
 from collections import deque
@@ -22,14 +22,14 @@
 
 IDLE_TIMEOUT = 300.0
 BODY_TIMEOUT = 30.0
-# Requests of one connection that are worked on at once; later ones wait unread.
+# Requests of one connection that are processed concurrently; reading pauses at this number.
 MAX_PIPELINED = 32
-# Bytes of a body that are read ahead of whoever takes them.
-READ_AHEAD = 256 * 1024
-# After the last answer the rest that a caller still sends is read for this
-# long, in seconds: what comes to a closed socket would reset the answer, too. 40 kB
-# sent after a refusal met a broken pipe without it.
-LINGER = 1.0
+# Unread bytes of a body above which reading from the connection pauses.
+MAX_READ_AHEAD_BYTES = 256 * 1024
+# Seconds for which input is still read and discarded after the last answer. Data that
+# arrives at a closed socket resets the connection, and the answer may be lost with it:
+# a caller that sent 40 kB after a refusal got a broken pipe instead of the refusal.
+LINGER_TIMEOUT = 1.0
 _CONTINUE = b"HTTP/1.1 100 Continue\r\n"
 _REASONS = {
     400: "Bad Request",
@@ -42,11 +42,11 @@
 
 
 class _Expired(gevent.GreenletExit):
-    """The connection's time is over."""
+    """Ends the reader of a connection that has exceeded its time limit."""
 
 
 class Connection:
-    """One caller's connection: requests are worked on at once, and answered in order.
+    """A caller's connection: processes its requests concurrently and answers them in order.
 
     Parameters
     ----------
@@ -56,8 +56,8 @@
     Attributes
     ----------
     expires_at : float
-        Monotonic; when the server's sweep ends it. Cheaper than a timer for
-        each wait.
+        Monotonic seconds after which the server's sweep ends the connection. Cheaper
+        than a timer for each wait.
     """
 
     def __init__(self, server, conn):
@@ -67,130 +67,132 @@
         self._reader = RequestReader(conn)
         self._greenlet = getcurrent()
         self._exchanges: deque[Exchange] = deque()
-        self._open: Exchange | None = None
+        self._open_exchange: Exchange | None = None
         self._has_room = Signal()
-        # An answer has said in its head that it is the last one.
-        self._is_ending = False
+        # Whether the head of an answer announced `connection: close`.
+        self._has_announced_close = False
         self._is_closing = False
-        # An answer is being written that ends with the connection.
-        self._ends_by_close = False
+        # Whether the answer being written has no length, so that its end is the end of the connection.
+        self._is_answer_close_delimited = False
 
     # ------------------------------------------------------------------ reading
 
     def run(self) -> None:
-        """Read requests until the connection ends."""
+        """Read requests and start processing them until the connection ends."""
         try:
             self._read()
         except MalformedMessage as exc:
-            # What came before it, maybe in the same packet, has answers of its own.
-            self._begin_whole()
-            self._finish_exchanges()
-            self._refuse(exc)
+            # Requests before the malformed one, possibly in the same packet, still get their answers.
+            self._start_complete_requests()
+            self._await_complete_exchanges()
+            self._refuse_malformed(exc)
         except _Expired:
-            # It may have read a request between being found idle and being ended.
-            self._begin_whole()
-            self._finish_exchanges()
+            # A request may have been read after the connection was found idle.
+            self._start_complete_requests()
+            self._await_complete_exchanges()
             if self._reader.is_in_head and not (self._exchanges or self._is_closing):
-                self._refuse(MalformedMessage("the request came too slowly", 408))
+                self._refuse_malformed(MalformedMessage("the request head was not received within the time limit", 408))
         except (OSError, gevent.GreenletExit):
-            # The caller is gone, or must not take a part for the whole.
+            # The caller has disconnected, or an incomplete answer is cut so that it doesn't look complete.
             pass
         finally:
-            if self._ends_by_close:
+            if self._is_answer_close_delimited:
                 self._conn.reset_on_close()
-            self._abandon()
+            self._cancel_exchanges()
             self._conn.close()
 
     def expire(self) -> None:
-        """End the connection: its caller has taken too long."""
+        """End the connection because its time limit has passed."""
         self._greenlet.kill(_Expired, block=False)
 
     def is_idle(self) -> bool:
-        """Tell whether no request is in progress or being read, and no last answer on its way."""
+        """Tell whether no request is in progress or being read, and no final answer is being delivered."""
         return not (self._exchanges or self._reader.is_in_head or self._reader.has_head() or self._is_closing)
 
     def end_if_idle(self) -> None:
-        """End the connection of a server that stops, unless a request is in progress."""
+        """End the connection unless a request is in progress; called while the server stops."""
         if self.is_idle() or (self._is_closing and self.expires_at <= monotonic()):
             self.expire()
 
     def answer_all(self) -> int:
-        """Have all requests answered that have no answer yet; return how many."""
-        waiting = [exchange for exchange in self._exchanges if not exchange.is_answered]
-        for exchange in waiting:
-            exchange.end_wait()
-        return len(waiting)
+        """Force an answer to each request that has none yet, and return their number."""
+        unanswered = [exchange for exchange in self._exchanges if not exchange.is_answered]
+        for exchange in unanswered:
+            exchange.force_answer()
+        return len(unanswered)
 
     def _read(self) -> None:
         reader = self._reader
-        self._note_time()
-        while reader.receive_first():
+        self._update_expiry()
+        while reader.receive():
             if self._is_closing:
-                self._drop_rest()
+                self._discard_read_ahead()
                 continue
-            # First, for the next request may have a body that is to come, too.
-            if self._open is not None:
-                self._note_body()
-            self._begin_read()
-            self._note_time()
-            while not self._is_closing and self._is_full():
+            # Before new requests start: the next one may become the open exchange.
+            if self._open_exchange is not None:
+                self._update_open_body()
+            self._start_read_requests()
+            self._update_expiry()
+            while not self._is_closing and self._must_pause_reading():
                 self._has_room.clear()
                 self._has_room.wait()
-                self._begin_read()
-                self._note_time()
+                self._start_read_requests()
+                self._update_expiry()
         if reader.is_in_head:
-            raise ConnectionError("the connection ended within a head")
+            raise ConnectionError("the connection ended before the end of a request head")
 
-    def _begin_read(self) -> None:
-        """Begin the requests whose heads were read, as far as they may begin."""
+    def _start_read_requests(self) -> None:
+        """Start the requests whose heads were read, as far as the connection's state permits."""
         reader = self._reader
-        while reader.has_head() and self._may_begin():
-            self._begin(reader.next_head())
-        if self._is_ending:
-            self._drop_rest()
+        while reader.has_head() and self._may_start_request():
+            self._start_request(reader.next_head())
+        if self._has_announced_close:
+            self._discard_read_ahead()
 
-    def _drop_rest(self) -> None:
-        """Forget what came behind the last answer: it counts as not read.
+    def _discard_read_ahead(self) -> None:
+        """Discard buffered requests that follow the request with the last answer.
 
-        Begun, it would be run and never answered. The open body is still taken until
-        the answer has ended.
+        If they were started, they would run and never be answered. The body of the open
+        exchange is still received until the answer has ended.
         """
-        is_taken = self._open is not None and not self._is_closing
-        self._reader.drop(self._open.message if is_taken else None)
+        is_body_wanted = self._open_exchange is not None and not self._is_closing
+        self._reader.discard_read_ahead(self._open_exchange.message if is_body_wanted else None)
 
-    def _may_begin(self) -> bool:
-        if self._is_ending:
+    def _may_start_request(self) -> bool:
+        if self._has_announced_close:
             return False
-        # The answer before it may be cut when the process ends, and its own with it.
-        return not (self._exchanges and self._server.is_in_stop)
-
-    def _note_body(self) -> None:
-        """Note that more of the open body may have come."""
-        self._open.body.wake()
-        if self._open.message.is_complete:
-            self._open = None
-
-    def _begin_whole(self) -> None:
-        """Begin the requests that were read whole, of a connection on which no more is read."""
-        if self._open is not None:
-            self._note_body()
-        while self._reader.has_head() and not self._is_ending:
+        # The end of the process may cut the answer in progress, and the answers queued after it.
+        return not (self._exchanges and self._server.is_process_stopping)
+
+    def _update_open_body(self) -> None:
+        """Notify the reader of the open body that more data may have arrived."""
+        self._open_exchange.body.notify_arrival()
+        if self._open_exchange.message.is_complete:
+            self._open_exchange = None
+
+    def _start_complete_requests(self) -> None:
+        """Start the requests that were read completely, once nothing more is read."""
+        if self._open_exchange is not None:
+            self._update_open_body()
+        while self._reader.has_head() and not self._has_announced_close:
             message = self._reader.next_head()
             if message.is_complete:
-                self._begin(message)
+                self._start_request(message)
 
-    def _is_full(self) -> bool:
+    def _must_pause_reading(self) -> bool:
         if len(self._exchanges) >= MAX_PIPELINED or self._reader.has_head():
             return True
-        # The reader goes on once the body's pieces were taken.
-        return self._open is not None and self._open.message.size_ahead() > READ_AHEAD
+        # Reading resumes once the consumer has read the buffered pieces.
+        return (
+            self._open_exchange is not None and self._open_exchange.message.count_unread_bytes() > MAX_READ_AHEAD_BYTES
+        )
 
-    def _note_time(self) -> None:
+    def _update_expiry(self) -> None:
         if self._is_closing:
-            return  # it lingers for a set time
+            return  # the linger timeout is fixed
         now = monotonic()
         header_timeout, idle_timeout = self._server.read_timeouts()
-        if self._open is not None:
+        if self._open_exchange is not None:
             self.expires_at = now + BODY_TIMEOUT
         elif self._reader.is_in_head:
             self.expires_at = now + header_timeout
@@ -199,25 +201,25 @@
         else:
             self.expires_at = now + idle_timeout
 
-    def _begin(self, message: Message) -> None:
-        """Start to work on a request."""
+    def _start_request(self, message: Message) -> None:
+        """Assign a request to a worker."""
         exchange = Exchange(self, message)
         if not message.is_complete:
-            self._open = exchange
+            self._open_exchange = exchange
         self._exchanges.append(exchange)
-        self._server.take_worker().assign(exchange)
+        self._server.acquire_worker().assign(exchange)
 
-    def note_taken(self) -> None:
-        """Note that a piece of a body was taken: there is room for more."""
+    def notify_body_read(self) -> None:
+        """Resume reading after the consumer has read a piece of a body."""
         self._has_room.set()
 
-    def ask_for_body(self) -> None:
-        """Ask for the body of the request whose turn it is, if it is wanted.
+    def send_continue(self) -> None:
+        """Send `100 Continue` for the request that is next to be answered, if its body is wanted.
 
-        Earlier, the line would stand within the answer to a request before it.
+        Sent before its turn, the line would be part of the answer to an earlier request.
         """
-        if self._exchanges and self._exchanges[0].wants_body:
-            self._exchanges[0].wants_body = False
+        if self._exchanges and self._exchanges[0].wants_continue:
+            self._exchanges[0].wants_continue = False
             pace = self._exchanges[0].body.pace
             header = b"" if pace == NEVER else b"%b: %d\r\n" % (PACE_HEADER.encode(), pace)
             self._conn.sendall(_CONTINUE + header + b"\r\n")
@@ -225,65 +227,65 @@
     # ---------------------------------------------------------------- answering
 
     def work(self, exchange: Exchange) -> None:
-        """Find a request's answer, and write it when its turn has come."""
+        """Process a request, and write its answer once all earlier ones are written."""
         message = exchange.message
         self._server.in_progress += 1
         answer = None
         try:
-            answer = self._find_answer(message, exchange.body)
+            answer = self._get_answer(message, exchange.body)
             exchange.is_answered = True
             if self._exchanges and self._exchanges[0] is not exchange:
                 exchange.turn = Signal()
                 exchange.turn.wait()
-            # The connection may have ended meanwhile.
+            # The connection may have ended while waiting.
             if self._exchanges and not self._is_closing:
-                self._write(answer, message, self._may_keep(exchange, answer))
+                self._write_answer(answer, message, self._may_keep_open(exchange, answer))
         except (OSError, gevent.GreenletExit):
-            # Nobody reads, or the answer has broken off: cut, so that no part
-            # is taken for the whole.
+            # The caller has disconnected, or the answer's body broke off: cut the connection,
+            # so that the caller doesn't take a partial answer for a complete one.
             self._is_closing = True
             self._greenlet.kill(block=False)
         except Exception as exc:
             self._is_closing = True
             self._greenlet.kill(block=False)
-            self._server.report(exc)
+            self._server.log_unexpected_error(exc)
         finally:
             if answer is not None:
-                # Also where its turn never came: what its body holds is let go.
+                # Also if the answer was never written: releases what its body holds.
                 close_pieces(answer.pieces)
             self._server.in_progress -= 1
-            self._end(exchange)
+            self._finish_exchange(exchange)
             if exchange.done is not None:
                 exchange.done.set()
 
-    def _find_answer(self, message: Message, body: Body) -> Answer:
+    def _get_answer(self, message: Message, body: Body) -> Answer:
         if message.target == ALIVE_PATH:
             return Answer(200, "OK", [("content-length", "0")], [])
         limits = self._server.limits
         if limits is not None and body.length is not None and body.length > limits.body_bytes:
             return make_refusal(ErrorCode.BODY_TOO_LONG, Outcome.NOT_RUN)
         if self._server.is_over():
-            # Read after the final answers were given: none would come any more.
+            # The stop's final answers have been sent; a request read now would never be answered.
             return make_refusal(ErrorCode.DRAINING, Outcome.NOT_RUN, RETRY_AFTER)
         try:
             return self._server.side.handle(_make_request(message, body))
         except StopTimeout:
-            # The side doesn't say what it has come to: it may have run.
+            # The side was interrupted: the request may have run.
             return make_refusal(ErrorCode.ANSWER_LOST, Outcome.UNKNOWN)
 
-    def _may_keep(self, exchange: Exchange, answer: Answer) -> bool:
+    def _may_keep_open(self, exchange: Exchange, answer: Answer) -> bool:
         """Tell whether the connection stays open after a request's answer."""
         if not exchange.message.keep_alive:
             return False
-        # A body that has not come to its end stands in the next request's way.
+        # The rest of an unfinished body would precede the next request.
         if not exchange.message.is_complete:
             return False
-        # Those behind it are being worked on; the last one closes.
-        ends = answer.ends_connection or self._server.is_stopping or self._server.is_crowded()
-        return not ends or len(self._exchanges) > 1
+        # Requests already in progress are still answered; the last answer closes the connection.
+        must_close = answer.ends_connection or self._server.is_stopping or self._server.is_over_connection_limit()
+        return not must_close or len(self._exchanges) > 1
 
-    def _end(self, exchange: Exchange) -> None:
-        """Let the next request be answered."""
+    def _finish_exchange(self, exchange: Exchange) -> None:
+        """Remove an exchange, and let the next one write its answer."""
         try:
             self._exchanges.remove(exchange)
         except ValueError:
@@ -292,29 +294,29 @@
             self._exchanges[0].turn.set()
         self._has_room.set()
         try:
-            self.ask_for_body()
+            self.send_continue()
         except OSError:
-            pass  # the caller is gone, as the connection's reader finds, too
+            pass  # the caller has disconnected; the connection's reader notices it, too
         if not self._exchanges:
-            self._note_time()
+            self._update_expiry()
 
-    def _finish_exchanges(self) -> None:
-        """Let the requests be answered that were read whole."""
+    def _await_complete_exchanges(self) -> None:
+        """Wait until the requests that were read completely are answered."""
         for exchange in list(self._exchanges):
-            if exchange is not self._open:
+            if exchange is not self._open_exchange:
                 exchange.done = Signal()
                 exchange.done.wait(timeout=BODY_TIMEOUT)
 
-    def _abandon(self) -> None:
-        """Cancel what is in progress."""
+    def _cancel_exchanges(self) -> None:
+        """Cancel all requests in progress."""
         exchanges, self._exchanges = self._exchanges, deque()
-        if self._open is not None:
-            self._open.body.break_off()
+        if self._open_exchange is not None:
+            self._open_exchange.body.mark_broken()
         for exchange in exchanges:
             exchange.cancel()
 
-    def _write(self, answer: Answer, message: Message, keep_alive: bool) -> None:
-        """Write an answer; its head goes with the first piece of its body."""
+    def _write_answer(self, answer: Answer, message: Message, keep_alive: bool) -> None:
+        """Write an answer; its head is sent together with the first piece of its body."""
         lines = [f"HTTP/1.1 {answer.status} {answer.reason}"]
         has_length = False
         for name, value in answer.headers:
@@ -326,9 +328,9 @@
             lines.append("transfer-encoding: chunked")
         elif not has_length and has_body:
             keep_alive = False
-            self._ends_by_close = True
+            self._is_answer_close_delimited = True
         if not keep_alive:
-            self._is_ending = True
+            self._has_announced_close = True
             lines.append("connection: close")
         head = ("\r\n".join(lines) + "\r\n\r\n").encode("latin-1")
         pieces = iter(answer.pieces)
@@ -339,44 +341,44 @@
                 self._conn.sendall(head)
         finally:
             close_pieces(pieces)
-        self._ends_by_close = False
+        self._is_answer_close_delimited = False
         if not keep_alive:
-            self._close_politely()
+            self._begin_lingering_close()
 
-    def _close_politely(self) -> None:
-        """End the connection for the caller; the reader takes what is still on its way.
+    def _begin_lingering_close(self) -> None:
+        """Shut down the sending side; the reader discards what the caller still sends.
 
-        It ends when the caller has closed its side, or has taken too long.
+        The connection ends when the caller has closed its side, or after `LINGER_TIMEOUT`.
         """
         self._is_closing = True
         self._has_room.set()
-        self.expires_at = monotonic() + LINGER
+        self.expires_at = monotonic() + LINGER_TIMEOUT
         self._conn.shutdown(plain_socket.SHUT_WR)
-        if self._open is None and self._server.is_crowded() and not self._server.is_stopping:
-            # Its place is wanted for another caller, and hardly anything is on its way.
+        if self._open_exchange is None and self._server.is_over_connection_limit() and not self._server.is_stopping:
+            # Another caller needs the connection slot, and hardly any input can be in transit.
             self._greenlet.kill(_Expired, block=False)
 
-    def _refuse(self, exc: MalformedMessage) -> None:
-        """Answer what is malformed, and take nothing more from this connection."""
-        # Of an open body a part may have been passed on.
-        outcome = Outcome.NOT_RUN if self._open is None else Outcome.UNKNOWN
+    def _refuse_malformed(self, exc: MalformedMessage) -> None:
+        """Refuse a malformed request, and discard all further input."""
+        # Part of an open body may already have been passed on.
+        outcome = Outcome.NOT_RUN if self._open_exchange is None else Outcome.UNKNOWN
         answer = make_refusal(exc.code, outcome, 0.0, str(exc))
         answer.status, answer.reason = exc.status, _REASONS[exc.status]
         message = Message()
         message.version = "1.1"
         try:
-            self._conn.settimeout(LINGER)
-            if not self._is_ending:
-                self._write(answer, message, keep_alive=False)
+            self._conn.settimeout(LINGER_TIMEOUT)
+            if not self._has_announced_close:
+                self._write_answer(answer, message, keep_alive=False)
             while self._conn.recv(65536):
                 pass
         except (OSError, gevent.GreenletExit):
-            pass  # the caller has gone: nobody reads the refusal
+            pass  # the caller has disconnected
 
 
 def _make_request(message: Message, body: Body) -> Request:
-    listed = message.header("connection").lower()
-    dropped = {name.strip() for name in listed.split(",")} if listed else ()
+    connection_header = message.header("connection").lower()
+    dropped = {name.strip() for name in connection_header.split(",")} if connection_header else ()
     headers = [pair for pair in message.headers if pair[0] not in HOP_HEADERS and pair[0] not in dropped]
     host = message.header("host").rpartition(":")[0] or message.header("host")
     return Request(message.method, message.target, host.lower(), headers, body)
--- a/packages/lanedock-daemon/lanedock_daemon/path/hashed_body.py
+++ b/packages/lanedock-daemon/lanedock_daemon/path/hashed_body.py
@@ -1,5 +1,5 @@
 # SPDX-License-Identifier: BSD-3-Clause
-"""A request's body that is added to its fingerprint on its way."""
+"""A request body whose data updates the request's fingerprint as it is read."""
 
 from lanedock.quarantine import RequestHasher
 from lanedock_daemon.path.held_body import HeldBody
@@ -9,13 +9,13 @@
 
 
 class HashedBody(HeldBody):
-    """Adds each piece to its request's fingerprint as it is read.
+    """A body that updates its request's fingerprint with each piece read.
 
     Parameters
     ----------
     body : Body
     hasher : RequestHasher
-        Of the request.
+        Computes the request's fingerprint.
     """
 
     def __init__(self, body: Body, hasher: RequestHasher):
@@ -24,7 +24,7 @@
         self._hasher = hasher
 
     def hold(self, deadline: float) -> None:
-        """Read all that counts for the fingerprint, and keep it to be passed on.
+        """Read the part that the fingerprint covers, and buffer it for later reads.
 
         Parameters
         ----------
@@ -35,13 +35,13 @@
         ------
         BodyTimeout
         OSError
-            Its sender went away.
+            The sender disconnected.
         """
         while not self._hasher.is_complete:
             self.hold_piece(CHUNK, deadline)
 
     def finish(self, deadline: float) -> None:
-        """Read the rest of what counts for the fingerprint, and drop it; raises as `hold`."""
+        """Read the rest of the part that the fingerprint covers, and discard it. Raises as `hold`."""
         while not self._hasher.is_complete:
             self._read_next(CHUNK, deadline)
 
@@ -52,7 +52,7 @@
 
 
 def hash_body(request: Request, hasher: RequestHasher) -> Request:
-    """Return a request whose body is added to its fingerprint as it is read; itself where it has none."""
+    """Return a copy of the request with a `HashedBody`; the request itself if its body is empty."""
     if request.body.length == 0:
         return request
     body = HashedBody(request.body, hasher)
--- a/packages/lanedock-daemon/lanedock_daemon/path/headers.py
+++ b/packages/lanedock-daemon/lanedock_daemon/path/headers.py
@@ -1,5 +1,5 @@
 # SPDX-License-Identifier: BSD-3-Clause
-"""The headers that lanedock reads and writes, their meaning and units, and how their values are read."""
+"""Names of the HTTP headers that lanedock uses, and conversion of their values."""
 
 import re
 from collections.abc import Container
@@ -38,55 +38,55 @@
     "write_name",
 ]
 
-# Visible ASCII but for the sign of quoting: written as it is.
+# Visible ASCII without `%`, which starts a quoted byte: names of these characters aren't quoted.
 _PLAIN_NAME = re.compile(r"[!-$&-~]*")
 
-# Headers between lanedock's daemons; taken out of what comes from outside.
+# Prefix of headers between daemons; removed from messages of callers and applications.
 PRIVATE_PREFIX = "x-lanedock-"
 SERVICE_HEADER = "x-lanedock-service"
 CLASS_HEADER = "x-lanedock-class"
 VERSION_HEADER = "x-lanedock-version"
 LOAD_HEADER = "x-lanedock-load"
-# Which of the two takes no new work: one of `Leaving`.
+# Which part of the upstream takes no new work, the daemon or the application: one of `Leaving`.
 LEAVING_HEADER = "x-lanedock-leaving"
-# The rate limit, requests a second, that the caller's daemon knows of the incarnation that is meant.
+# The rate limit, in requests per second, that the caller's daemon knows for the addressed incarnation.
 KNOWN_LIMIT_HEADER = "x-lanedock-known-limit"
-# Milliseconds until the caller's next request to an upstream that limits their rate is worth
-# sending; left out where any is.
+# Milliseconds to wait before the next request to a rate-limited upstream; absent if requests
+# may be sent at once.
 TURN_HEADER = "x-lanedock-turn-ms"
-# The incarnation of the application that is meant, and the service that calls.
+# The incarnation of the application that the request is addressed to, and the calling service.
 UPSTREAM_HEADER = "x-lanedock-upstream"
-# Milliseconds left to the target time, counted from the caller's first attempt; 0
-# where it has passed.
+# Milliseconds left until the target time, which counts from the caller's first attempt;
+# 0 once it has passed.
 TARGET_HEADER = "x-lanedock-target-ms"
-# Bytes a second at which the body is to be sent that an interim answer asks for.
+# On an interim answer: bytes per second at which to send the request's body.
 PACE_HEADER = "x-lanedock-pace"
-# From a daemon that stops: milliseconds in which the request may be passed on to an
-# application; later, its answer would find nobody. Its deadline stays as it is.
+# From a stopping daemon: milliseconds within which the request may be passed on to an
+# application. If it starts later, the daemon has ended before the answer. The deadline is unaffected.
 START_BY_HEADER = "x-lanedock-start-by-ms"
-# The most urgent class of the requests that the caller's application works on.
+# The most urgent traffic class among the requests that the caller's application is processing.
 PARENT_HEADER = "x-lanedock-parent-class"
 ROUTE_HEADER = "x-lanedock-route"
 CALLER_HEADER = "x-lanedock-caller"
-# On a refusal: milliseconds after which the request may come back.
+# On a refusal: milliseconds after which the request may be retried.
 RETURN_HEADER = "x-lanedock-retry-after-ms"
-# On an answer in place of the application's, which has ended: the request's fingerprint, and
-# the ends of applications that it is suspected of.
+# On the daemon's answer for an application that ended during the request: the request's
+# fingerprint, and the application ends that the request is suspected to have caused.
 SUSPECT_HEADER = "x-lanedock-suspect"
 CRASHES_HEADER = "x-lanedock-crashes"
-# On a refusal: the request was at the application, which has refused it.
+# On a refusal: the request reached the application, and the application refused it.
 ARRIVED_HEADER = "x-lanedock-arrived"
-# These are for callers and applications, too: an application passes the
-# deadline and the attempt on with the calls that it makes for a request.
+# Headers that callers and applications use, too: an application copies the deadline
+# and the attempt to the calls that it makes for a request.
 ATTEMPT_HEADER = "x-request-attempt"
 DEADLINE_HEADER = "x-request-deadline-ms"
 OUTCOME_HEADER = "x-request-outcome"
 CODE_HEADER = "x-request-code"
 TRACE_HEADER = "traceparent"
-# By which a request is found in the logs; passed on as it came.
+# Identifies a request in logs; passed on unchanged.
 REQUEST_ID_HEADER = "x-request-id"
 
-# Headers of one connection, never passed on (RFC 9110, 7.6.1).
+# Hop-by-hop headers, never passed on (RFC 9110, 7.6.1).
 HOP_HEADERS = frozenset(
     (
         "connection",
@@ -103,20 +103,20 @@
 
 
 def read_int(text: str) -> int | None:
-    """Return the number that a header's value is; None where it is none, or negative."""
+    """Parse a header's value as a non-negative integer; None if it isn't one."""
     return int(text) if text.isascii() and text.isdigit() else None
 
 
 def write_name(name: str) -> str:
-    """Return a name as the value of a header between daemons; what a header can't carry is quoted (RFC 3986, 2.1)."""
+    """Encode a name as a header value between daemons, percent-encoded if needed (RFC 3986, 2.1)."""
     return name if _PLAIN_NAME.fullmatch(name) else quote(name, safe="")
 
 
 def read_name(value: str) -> str:
-    """Return the name that `write_name` wrote."""
+    """Decode a name that `write_name` encoded."""
     return unquote(value) if "%" in value else value
 
 
 def public_headers(headers: list[tuple[str, str]], dropped: Container[str]) -> list[tuple[str, str]]:
-    """Return headers without those between daemons, and without some others."""
+    """Return the headers that are neither private to daemons nor in `dropped`."""
     return [pair for pair in headers if pair[0] not in dropped and not pair[0].startswith(PRIVATE_PREFIX)]
--- a/packages/lanedock-daemon/lanedock_daemon/path/held_body.py
+++ b/packages/lanedock-daemon/lanedock_daemon/path/held_body.py
@@ -1,5 +1,5 @@
 # SPDX-License-Identifier: BSD-3-Clause
-"""A body that is read on behalf of its reader, before it asks."""
+"""A request body that can be buffered before its consumer reads it."""
 
 from abc import abstractmethod
 from collections import deque
@@ -10,12 +10,12 @@
 
 
 class HeldBody(Body):
-    """A body of which pieces may be held until they are read.
+    """A body whose pieces can be buffered until they are read.
 
     Parameters
     ----------
     body : Body
-        That it wraps.
+        The wrapped body.
     """
 
     def __init__(self, body: Body):
@@ -23,13 +23,13 @@
         self._held: deque[bytes] = deque()
 
     def hold_piece(self, size: int, deadline: float) -> None:
-        """Wait for the next piece, of `size` bytes at the most, and hold it; raises as `read`."""
+        """Wait for the next piece, of at most `size` bytes, and buffer it. Raises as `read`."""
         self._held.append(self._read_next(size, deadline))
 
     def read(self, size: int, deadline: float = NEVER) -> bytes:
         if not self._held:
             return self._read_next(size, deadline)
-        # The last one held may be empty, which is the body's end.
+        # The last buffered piece may be empty, which marks the end of the body.
         piece = self._held.popleft()
         if len(piece) > size:
             self._held.appendleft(piece[size:])
@@ -37,4 +37,4 @@
 
     @abstractmethod
     def _read_next(self, size: int, deadline: float) -> bytes:
-        """Read what comes behind the pieces that are held."""
+        """Read the next piece after the buffered ones from the wrapped body."""
--- a/packages/lanedock-daemon/lanedock_daemon/path/http.py
+++ b/packages/lanedock-daemon/lanedock_daemon/path/http.py
@@ -1,5 +1,5 @@
 # SPDX-License-Identifier: BSD-3-Clause
-"""Requests and answers as the request path sees them, whatever server reads them."""
+"""Requests, answers and bodies of the request path, independent of the HTTP server in use."""
 
 import json
 from abc import ABC, abstractmethod
@@ -28,51 +28,51 @@
     "read_whole",
 ]
 
-# Bytes of a body that are read at once.
+# Maximum bytes of a body per read.
 CHUNK = 64 * 1024
 
-# Bodies over this many bytes are sent between daemons only once the other side wants
-# them. They take 16 ms of a link of 4 Mbit/s, more than a round trip between zones; for
-# shorter ones asking costs more than the bytes.
+# Bodies longer than this, in bytes, are sent between daemons only after the receiver has asked
+# for them. Sending 8 KiB takes 16 ms on a 4 Mbit/s link, more than a round trip between zones;
+# for shorter bodies the round trip costs more than the transfer.
 ASK_LIMIT = 8 * 1024
-# The time after which callers may come back where nothing better is known, in seconds.
+# Seconds after which callers may retry if no better estimate is available.
 RETRY_AFTER = 1.0
 
-# A deadline, monotonic seconds, for none.
+# A deadline, in monotonic seconds, that never passes.
 NEVER = float("inf")
 
 
 class Outcome:
-    """What is known of a request that got no answer of its own."""
+    """Whether a request that the application didn't answer may have run."""
 
     NOT_RUN = "not-run"
     UNKNOWN = "unknown"
 
 
 class Leaving:
-    """Which part of an upstream takes no new work any more."""
+    """The part of an upstream that accepts no new work."""
 
     DAEMON = "daemon"
     APPLICATION = "application"
 
 
 class BodyTimeout(TimeoutError):
-    """A request's body has not come by its deadline: whoever sends it is slow, not who is to have it."""
+    """A request's body was not received by its deadline. The sender is slow; the receiver is not at fault."""
 
 
 class BodyBroken(ConnectionError):
-    """A request's body broke off: whoever sends it has gone, which is not the fault of who is to have it."""
+    """A request's body broke off because the sender disconnected; the receiver is not at fault."""
 
 
 class Body(ABC):
-    """A request's body, read once.
+    """A request's body, which can be read once.
 
     Attributes
     ----------
     length : int or None
-        In bytes; None where it comes in chunks.
+        In bytes; None for a chunked body.
     pace : float
-        Bytes a second at which its sender is asked to send it; infinite for any.
+        Bytes per second at which the sender is asked to send the body; infinite for no limit.
     """
 
     length: int | None = 0
@@ -80,105 +80,105 @@
 
     @property
     def is_asked_for(self) -> bool:
-        """Whether it is sent between daemons only once the other side wants it."""
+        """Whether the body is sent between daemons only after the receiver has asked for it."""
         return self.length is None or self.length > ASK_LIMIT
 
     @abstractmethod
     def read(self, size: int, deadline: float = NEVER) -> bytes:
-        """Return up to `size` bytes; empty at the end.
+        """Wait for data and return up to `size` bytes; empty at the end of the body.
 
         Parameters
         ----------
         size : int
         deadline : float
-            Monotonic, seconds: until when they are waited for.
+            Monotonic seconds until which to wait for data.
 
         Raises
         ------
         BodyTimeout
         OSError
-            The caller went away before the end.
+            The caller disconnected before the end of the body.
         """
 
 
 class EmptyBody(Body):
-    """A body of no bytes."""
+    """A body of zero bytes."""
 
     def read(self, size: int, deadline: float = NEVER) -> bytes:
         return b""
 
 
 def read_whole(body: Body, limit: int) -> bytes:
-    """Read a body to its end, in however many pieces it comes.
+    """Read a body to its end and return it as one byte string.
 
     Parameters
     ----------
     body : Body
     limit : int
-        Bytes that it may have.
+        Maximum length of the body, in bytes.
 
     Raises
     ------
     LanedockError
-        `ErrorCode.BODY_TOO_LONG`.
+        `ErrorCode.BODY_TOO_LONG`: the body is longer than `limit`.
     OSError
-        The caller went away before the end.
+        The caller disconnected before the end of the body.
     """
     pieces, size = [], 0
     while piece := body.read(CHUNK):
         pieces.append(piece)
         size += len(piece)
         if size > limit:
-            raise LanedockError(ErrorCode.BODY_TOO_LONG, f"the body has more than {limit} bytes")
+            raise LanedockError(ErrorCode.BODY_TOO_LONG, f"the body is longer than the allowed {limit} bytes")
     return b"".join(pieces)
 
 
 class ReplayBody(Body):
-    """A body that keeps what was read, so that it can be sent again while it is short.
+    """A body that keeps the data read, so that a short body can be sent again.
 
     Parameters
     ----------
     body : Body
     limit : int
-        Bytes that are kept at most.
+        Length in bytes up to which a body is kept.
     """
 
     def __init__(self, body: Body, limit: int):
         self.length = body.length
         self.is_long = body.length is None or body.length > limit
         self._body = body
-        self._kept: list[bytes] = []
+        self._pieces: list[bytes] = []
         self._position = 0
         self._was_read = False
 
     @property
     def can_rewind(self) -> bool:
-        """Whether all of it can still be sent again."""
+        """Whether the whole body can be read again from its beginning."""
         return not (self.is_long and self._was_read)
 
     def rewind(self) -> None:
-        """Start again at the beginning."""
+        """Make the next `read` return the beginning of the body."""
         self._position = 0
 
     def read(self, size: int, deadline: float = NEVER) -> bytes:
-        if self._position < len(self._kept):
+        if self._position < len(self._pieces):
             self._position += 1
-            return self._kept[self._position - 1]
+            return self._pieces[self._position - 1]
         piece = self._body.read(size, deadline)
         self._was_read = True
         if piece and not self.is_long:
-            self._kept.append(piece)
+            self._pieces.append(piece)
             self._position += 1
         return piece
 
 
 class HeadersByName:
-    """Finds headers by their names, which are in lower case.
+    """A list of headers with look-up by lower-case name.
 
     Attributes
     ----------
     headers : list of tuple of (str, str)
-        Complete before the first look-up.
+        Must not change after the first look-up.
     """
 
     __slots__ = ("_by_name", "headers")
@@ -188,19 +188,19 @@
         self._by_name: dict[str, str] | None = None
 
     def header(self, name: str) -> str:
-        """Return the first value of a header; empty where there is none."""
+        """Return the first value of a header; empty if the header is absent."""
         if self._by_name is None:
             self._by_name = dict(reversed(self.headers))
         return self._by_name.get(name, "")
 
 
 class Request(HeadersByName):
-    """A request, its target already split.
+    """A request with its parsed target.
 
     Attributes
     ----------
     headers : list of tuple of (str, str)
-        Names in lower case; without those of one connection.
+        Names in lower case; without hop-by-hop headers.
     """
 
     __slots__ = ("body", "host", "method", "path", "target")
@@ -218,7 +218,7 @@
 
 
 class Answer:
-    """An answer; its body is read piece by piece.
+    """An answer whose body is read piece by piece.
 
     Parameters
     ----------
@@ -226,13 +226,13 @@
     reason : str
     headers : list of tuple of (str, str)
     pieces : iterable of bytes
-        Raises where the body broke off: the server then cuts its connection,
-        so that nobody takes the part for the whole.
+        Raises if the body broke off: the server then cuts the caller's connection,
+        so that a partial answer isn't taken for a complete one.
 
     Attributes
     ----------
     ends_connection : bool
-        Whether its caller is to go elsewhere: no request follows on its connection.
+        Whether the connection closes after this answer, so that the caller connects to another instance.
     """
 
     __slots__ = ("ends_connection", "headers", "pieces", "reason", "status")
@@ -262,22 +262,22 @@
 
 
 def describe_end(answer: Answer, answered: str) -> str:
-    """Return how a request ended, as totals count it.
+    """Return the label under which totals count how a request ended.
 
     Parameters
     ----------
     answer : Answer
     answered : str
-        What counts where it is neither a refusal nor a failure.
+        The label of an answer that is neither a refusal nor a failure.
     """
-    named = {name: value for name, value in answer.headers if name in (OUTCOME_HEADER, CODE_HEADER)}
-    if named:
-        return "_".join(named.values())
+    values = {name: value for name, value in answer.headers if name in (OUTCOME_HEADER, CODE_HEADER)}
+    if values:
+        return "_".join(values.values())
     return "failed" if answer.status >= 500 else answered
 
 
 def make_refusal(code: ErrorCode, outcome: str, retry_after: float = 0.0, detail: str = "") -> Answer:
-    """Make the answer to a request that lanedock answers itself.
+    """Make the answer to a request that lanedock refuses or fails itself.
 
     Parameters
     ----------
@@ -285,14 +285,15 @@
     outcome : str
         One of `Outcome`.
     retry_after : float
-        Seconds after which to come back; 0 for nothing to say.
+        Seconds after which to retry; 0 to state none.
     detail : str
+        Message for the caller; the code's meaning if empty.
     """
     status, reason = _STATUS.get(code, _UNAVAILABLE)
-    text = {"code": code.code, "outcome": outcome, "message": detail or code.meaning}
+    fields = {"code": code.code, "outcome": outcome, "message": detail or code.meaning}
     if retry_after > 0:
-        text["retry_after_ms"] = max(1, int(retry_after * 1000))
-    body = json.dumps(text).encode() + b"\n"
+        fields["retry_after_ms"] = max(1, int(retry_after * 1000))
+    body = json.dumps(fields).encode() + b"\n"
     headers = [
         ("content-type", "application/json"),
         ("content-length", str(len(body))),
@@ -300,7 +301,7 @@
         (CODE_HEADER, code.code),
     ]
     if retry_after > 0:
-        headers.append((RETURN_HEADER, str(text["retry_after_ms"])))
-        # Whole seconds are all that this header can say (RFC 9110, 10.2.3).
+        headers.append((RETURN_HEADER, str(fields["retry_after_ms"])))
+        # This header holds whole seconds only (RFC 9110, 10.2.3).
         headers.append(("retry-after", str(max(1, round(retry_after)))))
     return Answer(status, reason, headers, [body])
--- a/packages/lanedock-daemon/lanedock_daemon/path/incoming.py
+++ b/packages/lanedock-daemon/lanedock_daemon/path/incoming.py
@@ -1,5 +1,5 @@
 # SPDX-License-Identifier: BSD-3-Clause
-"""Requests that come in on a connection: their bodies, their turns, and who works on them."""
+"""Incoming requests: streamed bodies, the order of answers, and the workers that process requests."""
 
 import gevent
 from gevent import get_hub, getcurrent
@@ -10,34 +10,34 @@
 from lanedock_daemon.path.parser import Message
 from lanedock_daemon.path.service import StopTimeout
 
-__all__ = ["CallerGone", "Exchange", "Worker"]
+__all__ = ["CallerDisconnected", "Exchange", "Worker"]
 
-# Workers kept without a request: for the requests that end while others begin.
+# Idle workers kept for reuse, since requests end while others start. Further ones end after their request.
 MAX_IDLE_WORKERS = 32
 
 
-class CallerGone(gevent.GreenletExit):
-    """The caller closed its connection; whatever it asked for is cancelled."""
+class CallerDisconnected(gevent.GreenletExit):
+    """Raised in a worker to cancel its request because the caller closed the connection."""
 
 
 class _StreamedBody(Body):
-    """A request's body, put in by the connection's reader as it comes.
+    """A request's body that the connection's reader fills as data arrives.
 
     Parameters
     ----------
     message : Message
-    on_taken, on_wanted : callable
-        Called without arguments when a piece was taken, and once when the sender
-        waits to be asked for the body.
+    on_read, on_continue_wanted : callable
+        Called without arguments: the first after each piece is read, the second once when
+        the body is first waited for while the sender waits for `100 Continue`.
     """
 
-    def __init__(self, message: Message, on_taken, on_wanted):
-        self._on_taken = on_taken
-        self._on_wanted = on_wanted
+    def __init__(self, message: Message, on_read, on_continue_wanted):
+        self._on_read = on_read
+        self._on_continue_wanted = on_continue_wanted
         self._message = message
-        self._rest = b""
-        self._arrived = None if message.is_complete else Signal()
-        self._broke_off = False
+        self._unread = b""
+        self._arrival = None if message.is_complete else Signal()
+        self._is_broken = False
         self._wants_continue = not message.is_complete and message.header("expect").lower() == "100-continue"
         length = message.header("content-length")
         if message.header("transfer-encoding"):
@@ -45,20 +45,20 @@
         else:
             self.length = int(length) if length else 0
 
-    def wake(self) -> None:
-        """Note that more of it has come."""
-        if self._arrived is not None:
-            self._arrived.set()
+    def notify_arrival(self) -> None:
+        """Wake the reader of the body after more data has arrived."""
+        if self._arrival is not None:
+            self._arrival.set()
 
-    def break_off(self) -> None:
-        """Note that nothing more will come."""
-        self._broke_off = True
-        self.wake()
+    def mark_broken(self) -> None:
+        """Record that the rest of the body will not arrive."""
+        self._is_broken = True
+        self.notify_arrival()
 
     def read(self, size: int, deadline: float = NEVER) -> bytes:
-        if not self._rest:
-            self._rest = self._next_piece(deadline)
-        piece, self._rest = self._rest[:size], self._rest[size:]
+        if not self._unread:
+            self._unread = self._next_piece(deadline)
+        piece, self._unread = self._unread[:size], self._unread[size:]
         return piece
 
     def _next_piece(self, deadline: float) -> bytes:
@@ -66,35 +66,35 @@
         while not pieces:
             if self._message.is_complete:
                 return b""
-            if self._broke_off:
-                raise BodyBroken("the connection ended within a body")
+            if self._is_broken:
+                raise BodyBroken("the connection ended before the end of the request body")
             if self._wants_continue:
                 self._wants_continue = False
-                self._on_wanted()
+                self._on_continue_wanted()
             self._wait(deadline)
-        self._on_taken()
+        self._on_read()
         return pieces.popleft()
 
     def _wait(self, deadline: float) -> None:
-        """Wait until more has come, or nothing more will."""
-        self._arrived.clear()
+        """Wait until more data arrives or the body breaks off."""
+        self._arrival.clear()
         if deadline == NEVER:
-            self._arrived.wait()
+            self._arrival.wait()
             return
-        left = deadline - monotonic()
-        if left <= 0:
-            raise BodyTimeout("the body has not come in time")
-        # A bare timer: the time-out of `wait` takes 5 us, this one 1.
-        timer = get_hub().loop.timer(left)
-        timer.start(self._arrived.set)
+        remaining = deadline - monotonic()
+        if remaining <= 0:
+            raise BodyTimeout("the request body was not received before its deadline")
+        # A timer of the loop costs 1 us; the timeout of `Event.wait` costs 5 us.
+        timer = get_hub().loop.timer(remaining)
+        timer.start(self._arrival.set)
         try:
-            self._arrived.wait()
+            self._arrival.wait()
         finally:
             timer.close()
 
 
 class Exchange:
-    """One request of a connection, and its turn to be answered.
+    """A request on a connection, and the state of its answer.
 
     Parameters
     ----------
@@ -102,47 +102,47 @@
     message : Message
     """
 
-    __slots__ = ("body", "connection", "done", "is_answered", "message", "turn", "wants_body", "worker")
+    __slots__ = ("body", "connection", "done", "is_answered", "message", "turn", "wants_continue", "worker")
 
     def __init__(self, connection, message: Message):
         self.connection = connection
         self.message = message
-        self.body = _StreamedBody(message, connection.note_taken, self._ask_for_body)
-        self.wants_body = False
+        self.body = _StreamedBody(message, connection.notify_body_read, self._request_continue)
+        self.wants_continue = False
         self.worker: Worker | None = None
         self.turn: Signal | None = None
         self.done: Signal | None = None
         self.is_answered = False
 
-    def _ask_for_body(self) -> None:
-        self.wants_body = True
-        self.connection.ask_for_body()
+    def _request_continue(self) -> None:
+        self.wants_continue = True
+        self.connection.send_continue()
 
     def cancel(self) -> None:
-        """End the work on it soon, unless it is over by then."""
+        """Schedule the cancellation of the request; no effect if it ends before."""
         if self.worker is not getcurrent():
-            get_hub().loop.run_callback(self._throw, CallerGone)
+            get_hub().loop.run_callback(self._throw, CallerDisconnected)
 
-    def end_wait(self) -> None:
-        """Have its final answer made now, unless there is one."""
+    def force_answer(self) -> None:
+        """Interrupt the processing so that a final answer is made now, unless there is one already."""
         if not self.is_answered:
             get_hub().loop.run_callback(self._throw, StopTimeout)
 
-    def _throw(self, kind: type[BaseException]) -> None:
-        # The worker may have gone on to another request meanwhile, or found an answer.
-        if self.worker is not None and not (kind is StopTimeout and self.is_answered):
-            self.worker.throw(kind)
+    def _throw(self, exc_type: type[BaseException]) -> None:
+        # The worker may have finished this request or got its answer since the call was scheduled.
+        if self.worker is not None and not (exc_type is StopTimeout and self.is_answered):
+            self.worker.throw(exc_type)
 
 
 class Worker(gevent.Greenlet):
-    """Works on requests, one after the other.
+    """A greenlet that processes requests one after the other.
 
-    A new greenlet for each would cost two system calls and the pages of its stack.
+    A new greenlet for each request would cost two system calls and the memory pages of its stack.
 
     Parameters
     ----------
     idle : list of Worker
-        Where it waits for the next request.
+        List of idle workers, to which the worker returns after each request.
     """
 
     def __init__(self, idle: list):
@@ -151,7 +151,7 @@
         self._exchange: Exchange | None = None
 
     def assign(self, exchange: Exchange) -> None:
-        """Have it work on a request."""
+        """Start processing a request."""
         exchange.worker = self
         self._exchange = exchange
         if self.started:
@@ -169,6 +169,6 @@
                 return
             self._idle.append(self)
             exchange = None
-            # Woken by `assign` only; a wake-up from an earlier wait has no word.
+            # Only `assign` sets an exchange; other wake-ups stem from earlier waits and are ignored.
             while self._exchange is None:
                 hub.switch()
--- a/packages/lanedock-daemon/lanedock_daemon/path/parser.py
+++ b/packages/lanedock-daemon/lanedock_daemon/path/parser.py
@@ -1,5 +1,5 @@
 # SPDX-License-Identifier: BSD-3-Clause
-"""Reading of HTTP messages from sockets, with httptools' parser (llhttp, strict)."""
+"""Reading HTTP messages from connections with httptools' parser (llhttp in strict mode)."""
 
 from collections import deque
 
@@ -9,25 +9,25 @@
 from lanedock_daemon.path.headers import PACE_HEADER, read_int
 from lanedock_daemon.path.http import HeadersByName
 
-__all__ = ["HEAD_LIMIT", "AnswerReader", "MalformedMessage", "MessageReader", "RequestReader"]
+__all__ = ["MAX_HEAD_BYTES", "AnswerReader", "MalformedMessage", "MessageReader", "RequestReader"]
 
-RECEIVE = 64 * 1024
-HEAD_LIMIT = 32 * 1024
-_NO_BODY = (204, 304)
-# Names of headers as they came, and in lower case; others beyond these are made anew.
-_MAX_NAMES = 256
-_NAMES: dict[bytes, str] = {}
+RECEIVE_SIZE = 64 * 1024
+MAX_HEAD_BYTES = 32 * 1024
+_BODILESS_STATUSES = (204, 304)
+# Cache of header names as received, mapped to lower-case strings; its size is bounded.
+_MAX_CACHED_NAMES = 256
+_HEADER_NAMES: dict[bytes, str] = {}
 
 
-def _read_name(name: bytes) -> str:
+def _decode_name(name: bytes) -> str:
     text = name.decode("latin-1").lower()
-    if len(_NAMES) < _MAX_NAMES:
-        _NAMES[name] = text
+    if len(_HEADER_NAMES) < _MAX_CACHED_NAMES:
+        _HEADER_NAMES[name] = text
     return text
 
 
 class MalformedMessage(LanedockError):
-    """What came is not a well-formed message; nothing of it is passed on."""
+    """The received message is malformed and is not passed on."""
 
     def __init__(self, message: str, status: int = 400):
         super().__init__(ErrorCode.BAD_REQUEST, message)
@@ -35,16 +35,16 @@
 
 
 class Message(HeadersByName):
-    """One message as far as it was read.
+    """A message, as far as it has been received.
 
     Attributes
     ----------
     headers : list of tuple of (str, str)
         Names in lower case.
     pieces : deque of bytes
-        Of the body, read but not taken yet.
+        Parts of the body that were received but not consumed yet.
     is_complete : bool
-        Whether the body was read to its end.
+        Whether the body was received to its end.
     """
 
     __slots__ = (
@@ -69,17 +69,17 @@
         self.reason = ""
         self.version = ""
 
-    def size_ahead(self) -> int:
-        """Return how many bytes of the body were read and not taken yet."""
+    def count_unread_bytes(self) -> int:
+        """Return the number of received body bytes that were not consumed yet."""
         return sum(len(piece) for piece in self.pieces)
 
 
 class MessageReader:
-    """Reads messages from one connection, one after the other.
+    """Reads successive messages from one connection.
 
     Parameters
     ----------
-    conn : socket
+    conn : Channel
     """
 
     def __init__(self, conn):
@@ -88,25 +88,25 @@
         self._heads: deque[Message] = deque()
         self._current: Message | None = None
         self._head_bytes = 0
-        self._text = b""
+        self._start_line_text = b""
         self.is_in_head = False
 
     def _make_parser(self):
         raise NotImplementedError
 
-    # ---------------------------------------------------- callbacks of the parser
+    # ---------------------------------------------------- parser callbacks
 
     def on_message_begin(self) -> None:
         self._current = Message()
         self._head_bytes = 0
-        self._text = b""
+        self._start_line_text = b""
         self.is_in_head = True
 
     def on_header(self, name: bytes, value: bytes) -> None:
         self._head_bytes += len(name) + len(value)
-        if self._head_bytes > HEAD_LIMIT:
-            raise MalformedMessage(f"the head is longer than {HEAD_LIMIT} bytes", 431)
-        self._current.headers.append((_NAMES.get(name) or _read_name(name), value.decode("latin-1")))
+        if self._head_bytes > MAX_HEAD_BYTES:
+            raise MalformedMessage(f"the head is longer than {MAX_HEAD_BYTES} bytes", 431)
+        self._current.headers.append((_HEADER_NAMES.get(name) or _decode_name(name), value.decode("latin-1")))
 
     def on_headers_complete(self) -> None:
         self.is_in_head = False
@@ -122,87 +122,87 @@
         self._current.is_complete = True
 
     def _finish_head(self, message: Message) -> None:
-        """Fill in what the parser knows of the start line."""
+        """Copy the fields of the start line to the message, and check it."""
 
     # ------------------------------------------------------------------ reading
 
     def next_head(self) -> Message | None:
-        """Return the next message once its head was read; None at the end.
+        """Wait for the head of the next message and return the message; None at the end of the stream.
 
         Raises
         ------
         MalformedMessage
         OSError
-            The connection broke, or timed out, or ended within a head.
+            The connection broke, timed out, or ended within a head.
         """
         while not self._heads:
             if not self._receive():
                 if self.is_in_head:
-                    raise ConnectionError("the connection ended within a head")
+                    raise ConnectionError("the connection ended before the end of a message head")
                 return None
-            if self.is_in_head and self._head_bytes > HEAD_LIMIT:
-                raise MalformedMessage(f"the head is longer than {HEAD_LIMIT} bytes", 431)
+            if self.is_in_head and self._head_bytes > MAX_HEAD_BYTES:
+                raise MalformedMessage(f"the head is longer than {MAX_HEAD_BYTES} bytes", 431)
         return self._heads.popleft()
 
     def has_head(self) -> bool:
-        """Tell whether a head was read ahead."""
+        """Tell whether a complete head is buffered."""
         return bool(self._heads)
 
     def has_rest(self) -> bool:
-        """Tell whether more came than the message read last."""
+        """Tell whether data of a further message was received."""
         return bool(self._heads) or self.is_in_head
 
-    def drop(self, kept: Message | None = None) -> None:
-        """Forget what was read ahead, but for the body of one message."""
+    def discard_read_ahead(self, kept: Message | None = None) -> None:
+        """Discard the buffered messages; the body of `kept` stays."""
         self._heads.clear()
         if self._current is not None and self._current is not kept:
             self._current.pieces.clear()
 
-    def receive_first(self) -> bool:
-        """Wait for the first bytes of the next message; False at the end."""
+    def receive(self) -> bool:
+        """Wait for data and parse it; return False at the end of the stream."""
         return self._receive()
 
     def next_piece(self, message: Message) -> bytes:
-        """Return the next piece of a body; empty at its end.
+        """Wait for the next piece of a body and return it; empty at the end of the body.
 
         Raises
         ------
         MalformedMessage
         OSError
-            The connection broke or timed out before the end.
+            The connection broke or timed out before the end of the body.
         """
         while not message.pieces:
             if message.is_complete:
                 return b""
             if not self._receive():
-                self._end_by_close(message)
+                self._handle_close_in_body(message)
         return message.pieces.popleft()
 
-    def _end_by_close(self, message: Message) -> None:
-        raise ConnectionError("the connection ended within a body")
+    def _handle_close_in_body(self, message: Message) -> None:
+        raise ConnectionError("the connection ended before the end of a message body")
 
-    def _is_past_end(self) -> bool:
-        """Tell whether what can't be read stands behind all that is wanted."""
+    def _tolerates_parse_error(self) -> bool:
+        """Tell whether the bytes that can't be parsed follow the last expected message."""
         return False
 
     def _receive(self) -> bool:
-        data = self.conn.recv(RECEIVE)
+        data = self.conn.recv(RECEIVE_SIZE)
         if not data:
             return False
         if self.is_in_head:
-            # What the parser holds back of a header is counted, too.
+            # Counts header data that the parser buffers, too.
             self._head_bytes += len(data)
         try:
             self._parser.feed_data(data)
         except httptools.HttpParserUpgrade as exc:
             raise MalformedMessage("upgrades are not supported", 501) from exc
         except httptools.HttpParserError as exc:
-            if self._is_past_end():
+            if self._tolerates_parse_error():
                 return True
             cause = exc.__context__
             if isinstance(cause, MalformedMessage):
                 raise cause from None
-            raise MalformedMessage(f"not HTTP: {exc}") from exc
+            raise MalformedMessage(f"the message is not valid HTTP: {exc}") from exc
         return True
 
 
@@ -213,16 +213,17 @@
         return httptools.HttpRequestParser(self)
 
     def on_url(self, url: bytes) -> None:
-        self._text += url
-        if len(self._text) > HEAD_LIMIT:
-            raise MalformedMessage("the target is too long", 414)
+        self._start_line_text += url
+        if len(self._start_line_text) > MAX_HEAD_BYTES:
+            raise MalformedMessage(f"the request target is longer than {MAX_HEAD_BYTES} bytes", 414)
 
     def _finish_head(self, message: Message) -> None:
         message.method = self._parser.get_method().decode("latin-1")
-        message.target = self._text.decode("latin-1")
+        message.target = self._start_line_text.decode("latin-1")
         _check_framing(message)
         if self._parser.should_upgrade():
-            # Before its head counts as read: else it is begun, and refused behind its answer.
+            # Raised before the head is queued: otherwise the request would be started, and
+            # this refusal would follow its answer.
             raise MalformedMessage("upgrades are not supported", 501)
 
 
@@ -232,92 +233,92 @@
     Attributes
     ----------
     method : str
-        Of the request whose answer is read: one to HEAD has no body.
-    may_continue : bool
-        Whether an interim answer asked for the request's body.
+        Method of the request whose answer is read: an answer to HEAD has no body.
+    got_continue : bool
+        Whether an interim answer has asked for the request's body.
     body_pace : int or None
-        Bytes a second at which it asked for the body; None for any.
+        Bytes per second at which the interim answer asked for the body; None for no limit.
     is_body_unsent : bool
-        Whether the answer came before all of the request's body was sent.
+        Whether the answer arrived before the request's body was sent completely.
     is_passed_on : bool
-        Whether any of the request was sent that the other side may pass on.
+        Whether enough of the request was sent that the peer may have passed on a part of it.
     """
 
     method = ""
-    may_continue = False
+    got_continue = False
     body_pace: int | None = None
     is_body_unsent = False
     is_passed_on = False
-    _is_whole = False
-    _is_spoiled = False
+    _is_answer_complete = False
+    _has_trailing_bytes = False
 
     def begin(self, method: str) -> None:
-        """Be ready for the answer to another request."""
+        """Prepare for the answer to the next request."""
         self.method = method
         self.is_passed_on = False
-        self._is_whole = False
+        self._is_answer_complete = False
 
     def on_message_complete(self) -> None:
         super().on_message_complete()
-        self._is_whole = True
+        self._is_answer_complete = True
 
-    def _is_past_end(self) -> bool:
-        """Bytes behind a whole answer belong to no request: they spoil the connection only."""
-        self._is_spoiled = self._is_whole
-        return self._is_spoiled
+    def _tolerates_parse_error(self) -> bool:
+        """Accept invalid bytes after a complete answer: they only make the connection unfit for reuse."""
+        self._has_trailing_bytes = self._is_answer_complete
+        return self._has_trailing_bytes
 
     def has_rest(self) -> bool:
-        return self._is_spoiled or super().has_rest()
+        return self._has_trailing_bytes or super().has_rest()
 
     def _make_parser(self):
         return httptools.HttpResponseParser(self)
 
     def wait_for_consent(self) -> bool:
-        """Wait until the other side wants the body; False where it has answered without.
+        """Wait until the peer asks for the body; return False if it answers without asking.
 
         Raises
         ------
         MalformedMessage
         OSError
         """
-        self.may_continue = False
-        while not (self.may_continue or self.has_head()):
+        self.got_continue = False
+        while not (self.got_continue or self.has_head()):
             if not self._receive():
-                raise ConnectionError("the connection ended before the answer")
-        return self.may_continue
+                raise ConnectionError("the connection ended before an answer to the request")
+        return self.got_continue
 
     def on_status(self, status: bytes) -> None:
-        self._text += status
+        self._start_line_text += status
 
     def on_headers_complete(self) -> None:
         if self._parser.get_status_code() < 200:
             # An interim answer; the final one follows.
             self.is_in_head = False
-            self.may_continue = True
+            self.got_continue = True
             self.body_pace = read_int(self._current.header(PACE_HEADER))
             return
         super().on_headers_complete()
 
     def _finish_head(self, message: Message) -> None:
         message.status = self._parser.get_status_code()
-        message.reason = self._text.decode("latin-1")
-        if self.method == "HEAD" or message.status in _NO_BODY:
+        message.reason = self._start_line_text.decode("latin-1")
+        if self.method == "HEAD" or message.status in _BODILESS_STATUSES:
             message.is_complete = True
-            if message.status not in _NO_BODY:
-                # The parser still waits for the body that was only described.
+            if message.status not in _BODILESS_STATUSES:
+                # The parser still expects the body that the headers describe, so it can't read another answer.
                 message.keep_alive = False
 
-    def _end_by_close(self, message: Message) -> None:
-        """A body without a length ends with its connection."""
+    def _handle_close_in_body(self, message: Message) -> None:
+        """End a body without a length at the close of the connection; other bodies are incomplete."""
         if message.header("content-length") or message.header("transfer-encoding"):
-            raise ConnectionError("the connection ended within a body")
+            raise ConnectionError("the connection ended before the end of an answer's body")
         message.is_complete = True
         message.keep_alive = False
         message.pieces.append(b"")
 
 
 def _check_framing(message: Message) -> None:
-    """Refuse what two readers could take for different messages (RFC 9112, 6.3)."""
+    """Refuse requests whose framing is ambiguous and that parsers could read differently (RFC 9112, 6.3)."""
     lengths, encodings, hosts = [], [], []
     for name, value in message.headers:
         if name == "host":
@@ -327,12 +328,14 @@
         elif name == "transfer-encoding":
             encodings.append(value)
     if len(lengths) > 1 or (lengths and encodings):
-        raise MalformedMessage("the body's length is given twice")
+        raise MalformedMessage(
+            "the request has several content-length headers, or content-length and transfer-encoding"
+        )
     if encodings and [value.strip().lower() for value in encodings] != ["chunked"]:
-        raise MalformedMessage("only the transfer encoding chunked is supported", 501)
+        raise MalformedMessage("unsupported transfer encoding: only chunked is supported", 501)
     if lengths and not lengths[0].isdigit():
-        raise MalformedMessage("the content length is no number")
+        raise MalformedMessage("the content-length header is not a number")
     if len(hosts) > 1 or (not hosts and message.version == "1.1"):
-        raise MalformedMessage("the request has to name one host")
+        raise MalformedMessage(f"the request must have exactly one host header, got {len(hosts)}")
     if message.method == "CONNECT" or not message.target.startswith("/"):
-        raise MalformedMessage("the target has to be a path")
+        raise MalformedMessage("the request target must be a path that starts with /, and CONNECT is not supported")
--- a/packages/lanedock-daemon/lanedock_daemon/path/pool.py
+++ b/packages/lanedock-daemon/lanedock_daemon/path/pool.py
@@ -1,10 +1,9 @@
 # SPDX-License-Identifier: BSD-3-Clause
-"""Connections to daemons and applications, kept for the next exchange.
+"""A pool of persistent connections to daemons and applications.
 
-geventhttpclient's client sends a request again by itself when a pooled
-connection turns out closed, which a request that may not be repeated must not
-suffer. So connections are kept here, and `lanedock_daemon.path.exchange` sends
-and reads over them.
+geventhttpclient resends a request by itself when a pooled connection turns out to be
+closed, which is not allowed for requests that must not be repeated. So connections are
+pooled here, and `lanedock_daemon.path.exchange` sends and reads over them.
 """
 
 import socket
@@ -18,31 +17,31 @@
 
 __all__ = ["ConnectionPool", "ExchangeError"]
 
-# Round trips between zones take milliseconds; whoever has not answered by then
-# is gone or cut off, and there is time to go elsewhere.
+# Seconds. Round trips between zones take milliseconds; a peer that has not accepted by then
+# is down or unreachable, and the request's deadline leaves time for another upstream.
 CONNECT_TIMEOUT = 0.3
-# A peer that acknowledges nothing for this long, in milliseconds, is gone or cut
-# off: several round trips between zones, and two retransmissions (the kernel's
-# first comes after 200 ms, the second after 400 more).
+# A peer that acknowledges no data for this time is considered unreachable. It covers
+# several round trips between zones and two retransmissions (the kernel sends the first
+# after 200 ms, the second 400 ms later).
 USER_TIMEOUT_MS = 700
-# Whole seconds are the least that the kernel takes for its probes of silent peers.
+# 1 s is the smallest keepalive time and interval that the kernel accepts.
 KEEPALIVE_S = 1
 KEEPALIVE_PROBES = 2
 
 
 class ExchangeError(LanedockError):
-    """A request got no answer.
+    """A request that got no answer.
 
     Attributes
     ----------
     outcome : str
         One of `Outcome`.
     is_unreachable : bool
-        Whether the other side can't be reached, as far as that is known.
+        Whether the peer is known to be unreachable.
     is_body_late : bool
-        Whether the request's own body did not come in time, or broke off: the other side is not at fault.
+        Whether the request's body was late or broke off, which is not the peer's fault.
     is_broken : bool
-        Whether the other side's end of the connection broke while the request may have been in progress there.
+        Whether the connection broke at the peer while the request may have been in progress there.
     """
 
     def __init__(
@@ -64,14 +63,14 @@
 class ConnectionPool:
     """Idle connections by address.
 
-    A connection is checked before it is used again: one that the other side
-    has closed, or on which something unasked came, is dropped. One that has
-    fallen silent without a reset isn't noticed so; `note_late` finds it.
+    A connection is checked before it is reused and dropped if the peer has closed it
+    or has sent unsolicited data. The check can't detect a connection that stopped
+    delivering without a reset; `note_late` handles that case.
 
     Parameters
     ----------
     max_idle : int
-        Idle connections kept for one address.
+        Maximum number of idle connections per address.
     connect_timeout : float
         Seconds.
     """
@@ -80,7 +79,7 @@
         self._max_idle = max_idle
         self._connect_timeout = connect_timeout
         self._idle: dict[tuple[str, int], list] = {}
-        # All that are held anywhere, in use or idle.
+        # All open connections, in use or idle.
         self._addresses: WeakKeyDictionary[AnswerReader, tuple[str, int]] = WeakKeyDictionary()
         self._heard_at: dict[tuple[str, int], float] = {}
 
@@ -88,12 +87,12 @@
         return f"<ConnectionPool idle={sum(map(len, self._idle.values()))}>"
 
     def get(self, address: tuple[str, int], timeout: float) -> AnswerReader:
-        """Return a connection with its reader.
+        """Return the reader of an idle connection, or of a new one.
 
         Raises
         ------
         ExchangeError
-            None could be made; the request was not run.
+            No connection could be made; the request was not run.
         """
         idle = self._idle.get(address)
         while idle:
@@ -104,7 +103,7 @@
         return self.connect(address, timeout)
 
     def connect(self, address: tuple[str, int], timeout: float = CONNECT_TIMEOUT) -> AnswerReader:
-        """Make a new connection.
+        """Open a new connection and return its reader.
 
         Raises
         ------
@@ -115,13 +114,13 @@
         except OSError as exc:
             message = f"{address}: {exc}"
             raise ExchangeError(ErrorCode.CONNECT_FAILED, Outcome.NOT_RUN, message, True) from exc
-        _tune(conn)
+        _set_socket_options(conn)
         reader = AnswerReader(Channel(conn))
         self._addresses[reader] = address
         return reader
 
     def put(self, address: tuple[str, int], reader: AnswerReader) -> None:
-        """Take back a connection whose answer was read to its end."""
+        """Return a connection to the pool after its answer was read to the end."""
         idle = self._idle.setdefault(address, [])
         if len(idle) < self._max_idle:
             idle.append(reader)
@@ -129,26 +128,27 @@
             reader.conn.close()
 
     def has_open(self, address: tuple[str, int]) -> bool:
-        """Tell whether any connection to an address, in use or idle, is surely still open."""
-        return any(known == address and reader.conn.is_clean() for reader, known in self._addresses.items())
+        """Tell whether any connection to an address, in use or idle, is known to be open."""
+        return any(
+            reader_address == address and reader.conn.is_clean() for reader, reader_address in self._addresses.items()
+        )
 
     def note_heard(self, address: tuple[str, int], now: float) -> None:
-        """Note that an answer has begun on a connection to an address."""
+        """Record that an answer from an address has begun to arrive."""
         self._heard_at[address] = now
 
     def note_late(self, address: tuple[str, int], sent_at: float) -> bool:
-        """Note that an answer is later than nearly all others.
+        """Record that an answer is later than nearly all others.
 
-        Where nothing at all was heard from the address since the request was sent,
-        its connections may have fallen silent: the idle ones are closed, so that the
-        next request goes over a new one. An address that is merely busy answers others
-        meanwhile.
+        If no answer has come from the address since the request was sent, its connections
+        may have stopped delivering: the idle ones are closed, so that the next request uses
+        a new one. An address that is only busy answers other requests in that time.
 
         Parameters
         ----------
         address : tuple of (str, int)
         sent_at : float
-            Monotonic, seconds: of the request.
+            Monotonic seconds at which the request was sent.
 
         Returns
         -------
@@ -171,8 +171,8 @@
             self.forget(address)
 
 
-def _tune(conn) -> None:
-    """Send at once, and notice a peer that is cut off in silence."""
+def _set_socket_options(conn) -> None:
+    """Disable Nagle's algorithm, and detect peers that become unreachable without a reset."""
     tcp = socket.IPPROTO_TCP
     conn.setsockopt(tcp, socket.TCP_NODELAY, 1)
     conn.setsockopt(tcp, socket.TCP_USER_TIMEOUT, USER_TIMEOUT_MS)
--- a/packages/lanedock-daemon/lanedock_daemon/path/prober.py
+++ b/packages/lanedock-daemon/lanedock_daemon/path/prober.py
@@ -1,8 +1,8 @@
 # SPDX-License-Identifier: BSD-3-Clause
-"""Finding out when an upstream that could not be reached can be reached again.
+"""Probing of unreachable upstreams until they are reachable again.
 
-A request must not be what finds out: it would wait for a connection that is not
-made, while its caller's time runs.
+Requests must not serve as probes: they would spend their callers' time waiting for a
+connection that can't be made.
 """
 
 import random
@@ -15,19 +15,19 @@
 
 __all__ = ["UpstreamProber"]
 
-# Seconds before the first probe, which is to follow a lost packet closely, and
-# the longest between two: an upstream that is back is used within a second.
-FIRST_WAIT = 0.1
-MAX_WAIT = 1.0
+# Seconds before the first probe, short because a single lost packet may be the cause, and
+# the maximum between two probes, so that a recovered upstream is used again within a second.
+INITIAL_INTERVAL = 0.1
+MAX_INTERVAL = 1.0
 
 
 class UpstreamProber:
-    """Connects to an unreachable upstream's daemon until it answers.
+    """Tries to connect to an unreachable upstream's daemon until it succeeds.
 
     Parameters
     ----------
     pool : ConnectionPool
-        Keeps the connection that was made.
+        Receives the connection of the successful probe.
     events : EventLogger
     """
 
@@ -36,20 +36,20 @@
         self._events = events
 
     def run(self, balancer: Balancer, stats: UpstreamStats) -> None:
-        """Probe until the upstream is reached, or not listed any more."""
-        wait = FIRST_WAIT
+        """Probe until the upstream is reached, or until the balancer no longer needs probes of it."""
+        interval = INITIAL_INTERVAL
         while True:
-            gevent.sleep(wait * random.uniform(0.75, 1.25))
+            gevent.sleep(interval * random.uniform(0.75, 1.25))
             if not balancer.is_probing(stats):
                 return
-            if self._reach(stats.address):
+            if self._try_connect(stats.address):
                 self._events.emit(Event.REACHED, upstream=stats.endpoint.instance, failed_probes=stats.failed_probes)
                 balancer.note_probe(stats, True)
                 return
             balancer.note_probe(stats, False)
-            wait = min(2 * wait, MAX_WAIT)
+            interval = min(2 * interval, MAX_INTERVAL)
 
-    def _reach(self, address: tuple[str, int]) -> bool:
+    def _try_connect(self, address: tuple[str, int]) -> bool:
         try:
             reader = self._pool.connect(address)
         except ExchangeError:
--- a/packages/lanedock-daemon/lanedock_daemon/path/server.py
+++ b/packages/lanedock-daemon/lanedock_daemon/path/server.py
@@ -1,8 +1,8 @@
 # SPDX-License-Identifier: BSD-3-Clause
-"""HTTP servers of the request path: gevent's sockets and httptools' parser.
+"""The HTTP server of the request path, based on gevent's sockets and httptools' parser.
 
-gevent's WSGI server stands in `lanedock_daemon.path.wsgi` as the baseline; a hop
-over it costs several times as much, and it can't notice that a caller has gone.
+gevent's WSGI server is kept in `lanedock_daemon.path.wsgi` as the baseline. It costs
+several times as much per hop, and it can't detect that a caller has disconnected.
 """
 
 import gevent
@@ -26,19 +26,19 @@
 
 
 class PathServer(HttpService):
-    """The server that runs; its first parameters are those of `HttpService`.
+    """HTTP server for daemons and operators; further parameters are those of `HttpService`.
 
     Parameters
     ----------
-    limits_of : callable, optional
+    get_limits : callable, optional
         Returns the `CallerLimits` in force, or None.
     max_kept : int, optional
-        Connections from which on each is closed after its answer.
+        Number of open connections above which connections are closed after their answers.
 
     Attributes
     ----------
     limits : CallerLimits or None
-        As they were in force at the last sweep.
+        Limits in force at the last sweep.
     """
 
     def __init__(
@@ -48,14 +48,14 @@
         side,
         plan: StopPlan,
         events: EventLogger,
-        limits_of=lambda: None,
+        get_limits=lambda: None,
         max_kept=None,
         closes_last: bool = False,
     ):
         self._max_kept = max_kept
         super().__init__(name, address, side, plan, events, closes_last)
         self.limits = None
-        self._limits_of = limits_of
+        self._get_limits = get_limits
         self._connections: dict[Connection, None] = {}
         self._sweeper = None
         self._idle_workers: list[Worker] = []
@@ -72,40 +72,40 @@
         self._sweeper.kill()
 
     def _answer_rest(self) -> None:
-        """Have everything answered that has no answer yet.
+        """Force answers to all unanswered requests.
 
-        Cut with the process, a request that was read would leave its caller without
-        a word on whether it ran.
+        Otherwise the end of the process would cut their connections, and their callers
+        would not learn whether the requests ran.
         """
         count = sum(connection.answer_all() for connection in list(self._connections))
         if count:
             self._events.emit(Event.CUT_SHORT, requests=count)
 
     def _is_idle(self) -> bool:
-        """End idle connections; tell whether none is left.
+        """End idle connections; tell whether no connection or request is left.
 
-        Ended with the server they would take along a request that is just being
-        read: its caller would get no answer, though it may have been passed on.
+        If all connections ended together with the server, a request that is being read
+        would get no answer, although it may have been passed on.
         """
         for connection in list(self._connections):
             connection.end_if_idle()
         return not (self.in_progress or self._connections)
 
     def read_timeouts(self) -> tuple[float, float]:
-        """Return how long a head may take and an idle connection is kept, in seconds."""
+        """Return the timeouts for reading a head and for idle connections, in seconds."""
         if self.limits is None:
             return HEAD_TIMEOUT, IDLE_TIMEOUT
         return self.limits.header_timeout_ms / 1000, self.limits.idle_timeout_ms / 1000
 
-    def is_crowded(self) -> bool:
-        """Tell whether there are more connections than are to be kept."""
+    def is_over_connection_limit(self) -> bool:
+        """Tell whether more than `max_kept` connections are open."""
         return self._max_kept is not None and len(self._connections) > self._max_kept
 
     def _end_oldest_idle(self) -> None:
-        """End the oldest connection that has no request, so that new ones can be accepted.
+        """End the oldest idle connection to make room for a new one.
 
-        Without this, connections that callers keep and don't use hold all of the
-        process's descriptors until they time out, and nobody new is served.
+        Otherwise unused connections of callers could occupy all file descriptors of the
+        process until they time out, and no new caller would be served.
         """
         for connection in self._connections:
             if connection.is_idle():
@@ -113,26 +113,26 @@
                 return
 
     @property
-    def is_in_stop(self) -> bool:
-        """Whether the process stops: answers that stream out then may be cut."""
+    def is_process_stopping(self) -> bool:
+        """Whether the process is stopping, so that answers in progress may be cut."""
         return self._plan.is_begun
 
     def is_over(self) -> bool:
-        """Tell whether the process stops, and its final answers have been given."""
+        """Tell whether the process is stopping and the deadline for final answers has passed."""
         return self._plan.is_begun and monotonic() >= self._plan.deadline
 
-    def take_worker(self) -> Worker:
-        """Return a worker that has nothing to do."""
+    def acquire_worker(self) -> Worker:
+        """Return an idle worker, or a new one."""
         return self._idle_workers.pop() if self._idle_workers else Worker(self._idle_workers)
 
-    def report(self, exc: Exception) -> None:
-        """Log a failure of the side that nobody foresaw."""
+    def log_unexpected_error(self, exc: Exception) -> None:
+        """Log an unexpected exception of a request handler."""
         self._events.emit(Event.UNEXPECTED, error=repr(exc))
 
     def _sweep(self) -> None:
         while True:
             gevent.sleep(SWEEP_INTERVAL)
-            self.limits = self._limits_of()
+            self.limits = self._get_limits()
             now = monotonic()
             for connection in list(self._connections):
                 if connection.expires_at < now:
@@ -142,7 +142,7 @@
 
     def _accept(self, conn, address) -> None:
         conn.setsockopt(socket.IPPROTO_TCP, socket.TCP_NODELAY, 1)
-        if self.is_crowded():
+        if self.is_over_connection_limit():
             self._end_oldest_idle()
         connection = Connection(self, Channel(conn))
         self._connections[connection] = None
--- a/packages/lanedock-daemon/lanedock_daemon/path/tests/test_closing.py
+++ b/packages/lanedock-daemon/lanedock_daemon/path/tests/test_closing.py
@@ -134,12 +134,12 @@
     wait_until(lambda: one._reader._current.target == "/behind")
 
 
-@pytest.mark.parametrize("is_crowded", [False, True])
-def test_nothing_is_begun_behind_an_answer_that_closes_its_connection(make_server, is_crowded):
+@pytest.mark.parametrize("is_over_connection_limit", [False, True])
+def test_nothing_is_begun_behind_an_answer_that_closes_its_connection(make_server, is_over_connection_limit):
     side = _Side()
-    server = make_server(side, max_kept=0 if is_crowded else None)
+    server = make_server(side, max_kept=0 if is_over_connection_limit else None)
     with socket.create_connection((HOST, server.port), timeout=LIMIT) as conn:
-        if is_crowded:
+        if is_over_connection_limit:
             conn.sendall(_request("/long"))
         else:
             _begin_stop_within(server, conn, _request("/long"))
@@ -174,7 +174,7 @@
 def test_a_refusal_reaches_a_caller_that_still_sends_while_the_server_stops(
     make_server, monkeypatch, head, more, max_kept
 ):
-    monkeypatch.setattr(connection, "LINGER", LIMIT)
+    monkeypatch.setattr(connection, "LINGER_TIMEOUT", LIMIT)
     server = make_server(_Refusing(), max_kept=max_kept)
     with socket.create_connection((HOST, server.port), timeout=LIMIT) as conn:
         _begin_stop_within(server, conn, head)
@@ -202,7 +202,7 @@
 
 
 def test_what_a_refused_caller_still_sends_is_not_kept(make_server, monkeypatch):
-    monkeypatch.setattr(connection, "LINGER", LIMIT)
+    monkeypatch.setattr(connection, "LINGER_TIMEOUT", LIMIT)
     server = make_server(_Refusing())
     with socket.create_connection((HOST, server.port), timeout=LIMIT) as conn:
         conn.sendall(UPLOAD)
@@ -210,7 +210,7 @@
         (refused,) = server._connections
         # More than the sockets hold.
         conn.sendall(b"." * UPLOAD_LENGTH)
-        assert refused._open.message.size_ahead() <= connection.READ_AHEAD
+        assert refused._open_exchange.message.count_unread_bytes() <= connection.MAX_READ_AHEAD_BYTES
         assert refused.expires_at - monotonic() <= LIMIT
 
 
--- a/packages/lanedock-daemon/lanedock_daemon/path/wsgi.py
+++ b/packages/lanedock-daemon/lanedock_daemon/path/wsgi.py
@@ -1,7 +1,7 @@
 # SPDX-License-Identifier: BSD-3-Clause
-"""The request path on gevent's WSGI server: the baseline of the benches.
+"""The request path on gevent's WSGI server: the baseline for benchmarks.
 
-It stays to be compared with; `lanedock_daemon.path.server` is what runs.
+Kept for comparison; deployments use `lanedock_daemon.path.server`.
 """
 
 from gevent import pywsgi, socket
@@ -15,7 +15,7 @@
 
 
 class _WsgiBody(Body):
-    """A body that gevent's WSGI server reads."""
+    """A request body from gevent's WSGI server."""
 
     def __init__(self, environ: dict):
         length = environ.get("CONTENT_LENGTH")
@@ -30,7 +30,7 @@
 
 
 class _Handler(pywsgi.WSGIHandler):
-    """Counts requests in progress, and closes connections politely when stopping."""
+    """Connection handler that disables Nagle's algorithm, and keeps the raw target and headers."""
 
     def handle(self) -> None:
         self.socket.setsockopt(socket.IPPROTO_TCP, socket.TCP_NODELAY, 1)
@@ -38,7 +38,7 @@
 
     def get_environ(self) -> dict:
         environ = super().get_environ()
-        # As sent: the unquoted path could name another resource upstream.
+        # The target as sent: the unquoted path could name another resource at the upstream.
         environ["lanedock.target"] = self.path
         environ["lanedock.headers"] = [(name.lower(), value) for name, value in self.headers.items()]
         return environ
@@ -48,7 +48,7 @@
 
 
 class WsgiPathServer(HttpService):
-    """The baseline; its parameters are those of `HttpService`."""
+    """HTTP server on gevent's WSGI server; its parameters are those of `HttpService`."""
 
     def _make_server(self, listener: tuple[str, int]) -> pywsgi.WSGIServer:
         return pywsgi.WSGIServer(listener, self._serve, handler_class=_Handler, log=None, error_log=None)
