--- a/packages/lanedock-daemon/lanedock_daemon/path/http.py
+++ b/packages/lanedock-daemon/lanedock_daemon/path/http.py
@@ -270,9 +270,9 @@
     answered : str
         The label of an answer that is neither a refusal nor a failure.
     """
-    values = {name: value for name, value in answer.headers if name in (OUTCOME_HEADER, CODE_HEADER)}
-    if values:
-        return "_".join(values.values())
+    refusal_fields = {name: value for name, value in answer.headers if name in (OUTCOME_HEADER, CODE_HEADER)}
+    if refusal_fields:
+        return "_".join(refusal_fields.values())
     return "failed" if answer.status >= 500 else answered
 
 
--- a/packages/lanedock-daemon/lanedock_daemon/path/tests/chain.py
+++ b/packages/lanedock-daemon/lanedock_daemon/path/tests/chain.py
@@ -1,5 +1,5 @@
 # SPDX-License-Identifier: BSD-3-Clause
-"""The request path in one process: caller's side, upstreams' sides, applications."""
+"""Test helpers that run the request path in one process: entry, upstream daemons and applications."""
 
 from collections import Counter
 
@@ -26,7 +26,7 @@
 
 
 def make_value(version: int = 1, **service) -> dict:
-    """Make an operators' file with one service."""
+    """Return the content of an operators' file with one service."""
     return {
         "mesh": "m",
         "version": version,
@@ -49,10 +49,10 @@
 
 
 class Application:
-    """An upstream's application that does as its script says, and counts runs.
+    """An upstream's application that answers by a script, and counts runs by path.
 
-    The script is called with the connection and the request's head and body,
-    and returns what to send; None closes the connection without an answer.
+    The script is called with the connection and the request's head and body, and returns
+    the bytes to send; None closes the connection without an answer.
     """
 
     def __init__(self, script=None):
@@ -105,14 +105,14 @@
 
 
 class Gate:
-    """A script whose work lasts until the gate opens, or its connection is closed.
+    """A script that answers once `opened` is set, and stops when its connection is closed.
 
     Attributes
     ----------
     begun, cut : list of str
-        Paths of the requests that came, and of those whose connection was closed.
+        Paths of the received requests, and of those whose connections were closed before the answer.
     headers : str
-        Lines that its answers have beside their length.
+        Header lines of the answers, in addition to their length.
     """
 
     def __init__(self):
@@ -154,7 +154,7 @@
         return UpstreamSide(self._service, address, self.view, self.pool, *parts, link_rate=self._link_rate)
 
     def replace_registration(self, registration) -> None:
-        """Go on as a daemon whose application has registered itself."""
+        """Replace the daemon's side by one for an application that has registered itself."""
         self.view.upstream = registration
         self.side = self.server.side = self._make_side()
 
@@ -178,7 +178,7 @@
 
 
 class Chain:
-    """One caller's side and some upstreams."""
+    """An entry server and several upstreams."""
 
     def __init__(self, *scripts, value: dict | None = None, link_rate: float | None = None):
         self.value = value or make_value()
@@ -195,7 +195,7 @@
         self.entry.start(None)
 
     def publish_endpoints(self, incarnation: int = 1, **first) -> None:
-        """Make the upstreams known; the first one with further fields."""
+        """Publish the endpoints of the upstreams to the entry; `first` adds fields to the first endpoint."""
         update = messages.EndpointUpdate(whole=True)
         service = self.value["services"][0]["name"]
         for upstream in self.upstreams:
@@ -214,13 +214,13 @@
         return socket.create_connection((HOST, self.entry.port), timeout=10)
 
     def send(self, data: bytes) -> bytes:
-        """Send bytes on a new connection; returns all that comes until it is closed."""
+        """Send bytes on a new connection; return all data received until it closes."""
         with self.connect() as conn:
             conn.sendall(data)
             return read_all(conn)
 
     def request(self, method: str, path: str = "/x", body: bytes = b"", headers: str = "") -> tuple[int, str, bytes]:
-        """Send a request; returns status, head and body."""
+        """Send a request; return the status, head and body of its answer."""
         head = (
             f"{method} {path} HTTP/1.1\r\nHost: h\r\nConnection: close\r\nContent-Length: {len(body)}\r\n{headers}\r\n"
         )
@@ -253,7 +253,7 @@
 
 
 def wait_until(condition, timeout: float = 10.0) -> None:
-    """Wait until a condition holds."""
+    """Poll until a condition holds; raise `gevent.Timeout` after `timeout` seconds."""
     with gevent.Timeout(timeout):
         while not condition():
             gevent.sleep(0.005)
--- a/packages/lanedock-daemon/lanedock_daemon/path/tests/conftest.py
+++ b/packages/lanedock-daemon/lanedock_daemon/path/tests/conftest.py
@@ -1,5 +1,5 @@
 # SPDX-License-Identifier: BSD-3-Clause
-"""Fixture: chains that are stopped after the test."""
+"""Fixtures for tests of the request path."""
 
 import pytest
 
@@ -8,13 +8,13 @@
 
 @pytest.fixture
 def make_chain():
-    """Make chains; a script for each upstream, None for one that answers ok."""
-    made = []
+    """Return a factory of chains with one script per upstream; None answers `200 OK`. Stops them at the end."""
+    chains = []
 
     def make(*scripts, **options):
-        made.append(Chain(*(scripts or (None,)), **options))
-        return made[-1]
+        chains.append(Chain(*(scripts or (None,)), **options))
+        return chains[-1]
 
     yield make
-    for chain in made:
+    for chain in chains:
         chain.stop()
--- a/packages/lanedock-daemon/lanedock_daemon/path/tests/test_closing.py
+++ b/packages/lanedock-daemon/lanedock_daemon/path/tests/test_closing.py
@@ -1,28 +1,18 @@
 # SPDX-License-Identifier: BSD-3-Clause
-"""Tests of connections that close with their last answer.
-
-What callers saw: while an entry instance stopped, or had more connections than it
-keeps, they sent a request on a connection on which a long answer was still coming, with
-`connection: close` in its head. The answer came to its end, the connection was closed,
-and nothing said what had become of the other request, which had been run.
-
-The order of events: the server decides that an answer is the last, writes its head,
-and streams its body. A request that comes meanwhile is begun and passed on. The long
-answer ends, the connection closes, and the other answer is dropped.
-
-The cause: the connection noted that it closes when the last answer had ended, and read
-and began requests until then.
-
-Callers also saw a broken pipe in place of a refusal, when they were still sending the
-body of the request that was refused. The server had answered, shut down its side, and
-then closed the connection as one on which nothing is in progress: in a stop within
-0.02 s. What the caller sends to a closed socket resets it, and with it whatever the
-caller has not read yet, also the rest of an answer on a slow link. At any other time
-what such a caller sent was kept in memory, 16 of 20 MB, for the end of the exchange put
-off the connection's end and nobody took the pieces any more.
-
-And they saw one answer, a 400, where they had sent a well-formed request and a malformed
-one in one packet: the parser's error left the reader before the first one was begun.
+"""Tests of connections that close after their last answer.
+
+They guard against these failures:
+
+- A request sent while a long answer with `connection: close` streams, during a stop or with
+  more connections than the server keeps, runs without an answer. This happens if the
+  connection marks itself as closing only at the end of the last answer.
+- A caller that still sends its body gets a broken pipe instead of the refusal. Data sent to a
+  closed socket resets the connection and discards answers that the caller hasn't read. During
+  a stop, the server closed such a connection as idle within 0.02 s.
+- Data sent after a refusal stays in memory (16 of 20 MB), because the end of the exchange extends
+  the connection's time limit, and nothing reads the body any more.
+- A well-formed request in the same packet as a malformed one gets no answer, because the
+  parser's error ends the reader before the first request starts.
 """
 
 import gevent
@@ -44,18 +34,18 @@
 HALF = b"." * 10_000
 UPLOAD_LENGTH = 20_000_000
 UPLOAD = b"POST /x HTTP/1.1\r\nhost: h\r\ncontent-length: %d\r\n\r\n" % UPLOAD_LENGTH
-UPLOAD_OF_4 = b"POST /x HTTP/1.1\r\nhost: h\r\ncontent-length: 4\r\n\r\n"
-# Seconds that a server waits for its requests when it stops.
-LIMIT = 5.0
+UPLOAD_OF_4_BYTES = b"POST /x HTTP/1.1\r\nhost: h\r\ncontent-length: 4\r\n\r\n"
+# Seconds that a stopping server waits for its requests; also the timeout of the tests' waits.
+TIMEOUT = 5.0
 
 
-class _Side:
-    """Streams half of the answer to /long, and the rest when the gate opens; answers others at once.
+class _StreamingSide:
+    """Streams half of the answer to /long, and the rest once `opened` is set; answers others at once.
 
     Attributes
     ----------
     begun : list of str
-        Paths of the requests that came.
+        Paths of the received requests.
     """
 
     def __init__(self):
@@ -76,28 +66,28 @@
 
 @pytest.fixture
 def make_server():
-    made = []
+    servers = []
 
     def make(side, **options) -> PathServer:
-        server = PathServer("s", Address(HOST, 0), side, StopPlan(0.0, LIMIT), EventLogger("s"), **options)
+        server = PathServer("s", Address(HOST, 0), side, StopPlan(0.0, TIMEOUT), EventLogger("s"), **options)
         server.start(None)
-        made.append(server)
+        servers.append(server)
         return server
 
     yield make
-    for server in made:
+    for server in servers:
         server.stop()
 
 
-class _Refusing:
-    """Refuses everything."""
+class _RefusingSide:
+    """Refuses all requests."""
 
     def handle(self, request) -> Answer:
         return make_refusal(ErrorCode.OVERLOADED, Outcome.NOT_RUN)
 
 
-class _Reading:
-    """Reads bodies, and answers when they have come to their end."""
+class _ReadingSide:
+    """Reads each body to its end, and then answers."""
 
     def __init__(self):
         self.received = b""
@@ -112,10 +102,10 @@
     return f"GET {path} HTTP/1.1\r\nhost: h\r\n\r\n".encode()
 
 
-def _begin_stop_within(server: PathServer, conn, data: bytes) -> None:
-    """Begin a stop while a request's head is read: its connection isn't idle then."""
+def _begin_stop_during_head(server: PathServer, conn, data: bytes) -> None:
+    """Begin a stop while a request head is being read, so that its connection isn't idle."""
     conn.sendall(data[:10])
-    wait_until(lambda: any(one._reader.is_in_head for one in server._connections))
+    wait_until(lambda: any(open_connection._reader.is_in_head for open_connection in server._connections))
     server.begin_stop()
     conn.sendall(data[10:])
 
@@ -127,39 +117,39 @@
     return data
 
 
-def _send_behind(server: PathServer, conn) -> None:
-    """Send another request, and wait until it was read."""
+def _send_second_request(server: PathServer, conn) -> None:
+    """Send another request, and wait until the server has read its head."""
     conn.sendall(_request("/behind"))
-    (one,) = server._connections
-    wait_until(lambda: one._reader._current.target == "/behind")
+    (open_connection,) = server._connections
+    wait_until(lambda: open_connection._reader._current.target == "/behind")
 
 
 @pytest.mark.parametrize("is_over_connection_limit", [False, True])
-def test_nothing_is_begun_behind_an_answer_that_closes_its_connection(make_server, is_over_connection_limit):
-    side = _Side()
+def test_no_request_starts_after_an_answer_that_closes_the_connection(make_server, is_over_connection_limit):
+    side = _StreamingSide()
     server = make_server(side, max_kept=0 if is_over_connection_limit else None)
-    with socket.create_connection((HOST, server.port), timeout=LIMIT) as conn:
+    with socket.create_connection((HOST, server.port), timeout=TIMEOUT) as conn:
         if is_over_connection_limit:
             conn.sendall(_request("/long"))
         else:
-            _begin_stop_within(server, conn, _request("/long"))
+            _begin_stop_during_head(server, conn, _request("/long"))
         got = _read_until(conn, len(HALF))
         assert b"\r\nconnection: close\r\n" in got
-        _send_behind(server, conn)
+        _send_second_request(server, conn)
         side.opened.set()
         got += read_all(conn)
     assert got.endswith(b"\r\n\r\n" + 2 * HALF)
     assert side.begun == ["/long"]
 
 
-def test_nothing_is_begun_behind_an_answer_that_the_process_may_cut(make_server):
-    side = _Side()
-    # Its connections are kept while the process lingers for its callers.
+def test_pipelined_request_waits_for_an_answer_that_the_stop_may_cut(make_server):
+    side = _StreamingSide()
+    # The server keeps its connections open and accepts requests until it is stopped.
     server = make_server(side, closes_last=True)
-    with socket.create_connection((HOST, server.port), timeout=LIMIT) as conn:
-        _begin_stop_within(server, conn, _request("/long"))
+    with socket.create_connection((HOST, server.port), timeout=TIMEOUT) as conn:
+        _begin_stop_during_head(server, conn, _request("/long"))
         got = _read_until(conn, len(HALF))
-        _send_behind(server, conn)
+        _send_second_request(server, conn)
         assert side.begun == ["/long"]
         side.opened.set()
         while b"content-length: 0\r\n\r\n" not in got:
@@ -174,44 +164,44 @@
 def test_a_refusal_reaches_a_caller_that_still_sends_while_the_server_stops(
     make_server, monkeypatch, head, more, max_kept
 ):
-    monkeypatch.setattr(connection, "LINGER_TIMEOUT", LIMIT)
-    server = make_server(_Refusing(), max_kept=max_kept)
-    with socket.create_connection((HOST, server.port), timeout=LIMIT) as conn:
-        _begin_stop_within(server, conn, head)
+    monkeypatch.setattr(connection, "LINGER_TIMEOUT", TIMEOUT)
+    server = make_server(_RefusingSide(), max_kept=max_kept)
+    with socket.create_connection((HOST, server.port), timeout=TIMEOUT) as conn:
+        _begin_stop_during_head(server, conn, head)
         stopping = gevent.spawn(server.stop)
-        wait_until(lambda: any(one._is_closing for one in server._connections))
+        wait_until(lambda: any(open_connection._is_closing for open_connection in server._connections))
         for _ in range(4):
             conn.sendall(more)
-            # The stop looks whether anything is left to do.
+            # Let the stop poll for remaining work.
             gevent.sleep(2 * POLL)
         assert not stopping.ready()
         got = read_all(conn)
     assert got.startswith(b"HTTP/1.1 503")
     assert got.count(b"HTTP/1.1 ") == 1
-    stopping.get(timeout=LIMIT)
+    stopping.get(timeout=TIMEOUT)
 
 
-def test_a_stop_does_not_wait_for_callers_that_keep_a_closed_connection(make_server):
-    server = make_server(_Side())
-    with socket.create_connection((HOST, server.port), timeout=LIMIT) as conn:
-        _begin_stop_within(server, conn, _request("/short"))
+def test_stop_does_not_wait_for_callers_that_leave_a_closed_connection_open(make_server):
+    server = make_server(_StreamingSide())
+    with socket.create_connection((HOST, server.port), timeout=TIMEOUT) as conn:
+        _begin_stop_during_head(server, conn, _request("/short"))
         stopping = gevent.spawn(server.stop)
         assert b"\r\nconnection: close\r\n" in read_all(conn)
-        stopping.get(timeout=LIMIT)
+        stopping.get(timeout=TIMEOUT)
         assert not server._connections
 
 
-def test_what_a_refused_caller_still_sends_is_not_kept(make_server, monkeypatch):
-    monkeypatch.setattr(connection, "LINGER_TIMEOUT", LIMIT)
-    server = make_server(_Refusing())
-    with socket.create_connection((HOST, server.port), timeout=LIMIT) as conn:
+def test_input_after_a_refusal_is_discarded(make_server, monkeypatch):
+    monkeypatch.setattr(connection, "LINGER_TIMEOUT", TIMEOUT)
+    server = make_server(_RefusingSide())
+    with socket.create_connection((HOST, server.port), timeout=TIMEOUT) as conn:
         conn.sendall(UPLOAD)
-        wait_until(lambda: any(one._is_closing for one in server._connections))
+        wait_until(lambda: any(open_connection._is_closing for open_connection in server._connections))
         (refused,) = server._connections
-        # More than the sockets hold.
+        # More than the socket buffers hold.
         conn.sendall(b"." * UPLOAD_LENGTH)
         assert refused._open_exchange.message.count_unread_bytes() <= connection.MAX_READ_AHEAD_BYTES
-        assert refused.expires_at - monotonic() <= LIMIT
+        assert refused.expires_at - monotonic() <= TIMEOUT
 
 
 @pytest.mark.parametrize(
@@ -222,30 +212,30 @@
         b"POST /b HTTP/1.1\r\nhost: h\r\ntransfer-encoding: chunked\r\n\r\nno length\r\n",
     ],
 )
-def test_a_request_before_a_malformed_one_has_its_own_answer(make_server, malformed):
-    side = _Side()
+def test_request_before_a_malformed_one_gets_its_own_answer(make_server, malformed):
+    side = _StreamingSide()
     server = make_server(side)
-    with socket.create_connection((HOST, server.port), timeout=LIMIT) as conn:
+    with socket.create_connection((HOST, server.port), timeout=TIMEOUT) as conn:
         conn.sendall(_request("/a") + malformed)
         answers = read_all(conn).split(b"HTTP/1.1 ")[1:]
     assert [answer[:3] for answer in answers] == [b"200", b"400"]
     assert side.begun == ["/a"]
 
 
-# What stands in the packet that brings a body's end, what follows, and the answers.
-_BEHIND = {
+# Data in the same packet as the end of a body, data sent after it, and the expected statuses.
+_FOLLOWING = {
     "a malformed request": (b"no HTTP\r\n\r\n", b"", [b"200", b"400"]),
-    "a request whose body is to come": (UPLOAD_OF_4, b"body", [b"200", b"200"]),
+    "a request whose body is to come": (UPLOAD_OF_4_BYTES, b"body", [b"200", b"200"]),
 }
 
 
-@pytest.mark.parametrize("behind", _BEHIND)
-def test_a_body_that_ends_in_the_packet_of_another_request_is_received(make_server, behind):
-    head, rest, statuses = _BEHIND[behind]
-    side = _Reading()
+@pytest.mark.parametrize("behind", _FOLLOWING)
+def test_body_is_complete_when_its_last_packet_contains_the_next_request(make_server, behind):
+    head, rest, statuses = _FOLLOWING[behind]
+    side = _ReadingSide()
     server = make_server(side)
-    with socket.create_connection((HOST, server.port), timeout=LIMIT) as conn:
-        conn.sendall(UPLOAD_OF_4 + b"bo")
+    with socket.create_connection((HOST, server.port), timeout=TIMEOUT) as conn:
+        conn.sendall(UPLOAD_OF_4_BYTES + b"bo")
         wait_until(lambda: side.received == b"bo")
         conn.sendall(b"dy" + head)
         wait_until(lambda: side.received == b"body")
@@ -259,10 +249,10 @@
     assert side.received == b"body" + rest
 
 
-def test_a_body_that_turns_out_malformed_leaves_it_unknown_whether_its_request_has_run(make_server):
-    side = _Reading()
+def test_malformed_body_is_refused_with_outcome_unknown(make_server):
+    side = _ReadingSide()
     server = make_server(side)
-    with socket.create_connection((HOST, server.port), timeout=LIMIT) as conn:
+    with socket.create_connection((HOST, server.port), timeout=TIMEOUT) as conn:
         conn.sendall(b"POST /x HTTP/1.1\r\nhost: h\r\ntransfer-encoding: chunked\r\n\r\n4\r\nbody\r\n")
         wait_until(lambda: side.received == b"body")
         conn.sendall(b"no length\r\n")
--- a/packages/lanedock-daemon/lanedock_daemon/path/tests/test_framing.py
+++ b/packages/lanedock-daemon/lanedock_daemon/path/tests/test_framing.py
@@ -1,5 +1,5 @@
 # SPDX-License-Identifier: BSD-3-Clause
-"""Tests of malformed requests: a clear refusal, and nothing passed on."""
+"""Tests of message framing: malformed requests are refused and not passed on."""
 
 import gevent
 import gevent.event
@@ -43,7 +43,7 @@
     assert chain.applications[0].runs.total() == 0
 
 
-def test_a_body_that_breaks_off_runs_at_most_in_part(make_chain):
+def test_request_with_an_incomplete_body_does_not_run(make_chain):
     chain = make_chain(None)
     with chain.connect() as conn:
         conn.sendall(b"POST /x HTTP/1.1\r\nHost: h\r\nContent-Length: 10\r\n\r\nabc")
@@ -51,7 +51,7 @@
     assert chain.runs() == 0
 
 
-def test_a_bad_chunk_cuts_the_request(make_chain):
+def test_invalid_chunk_is_not_passed_on(make_chain):
     chain = make_chain(None)
     chain.send(b"POST /x HTTP/1.1\r\nHost: h\r\nTransfer-Encoding: chunked\r\n\r\n5\r\nhello\r\nZZ\r\n")
     assert b"ZZ" not in b"".join(head.encode() for head in chain.applications[0].heads)
@@ -68,7 +68,7 @@
     assert [part[-2:] for part in got.split(b"HTTP/1.1 ")[1:]] == [b"/0", b"/1", b"/2", b"/3"]
 
 
-def test_a_head_that_comes_too_slowly_is_refused(make_chain, monkeypatch):
+def test_slow_request_head_is_refused_with_408(make_chain, monkeypatch):
     monkeypatch.setattr(server, "HEAD_TIMEOUT", 0.1)
     monkeypatch.setattr(server, "SWEEP_INTERVAL", 0.05)
     chain = make_chain(None)
@@ -118,15 +118,15 @@
 
 
 def _shared(make_chain):
-    """Use one chain for all examples of a test."""
+    """Return one chain for all examples of a test."""
     if make_chain not in _chains:
         _chains.clear()
         _chains[make_chain] = make_chain(None)
     return _chains[make_chain]
 
 
-def test_a_body_is_asked_for_behind_the_answers_before_it(make_chain):
-    """Asked for at once, the line would be taken for a part of the answer that still comes."""
+def test_continue_is_sent_after_earlier_answers(make_chain):
+    """Sent at once, the interim answer would be part of the answer that is still being written."""
     half = b"." * 200_000
     rest = gevent.event.Event()
 
@@ -149,7 +149,7 @@
         rest.set()
         while b"100 Continue\r\n\r\n" not in received:
             received += conn.recv(65536)
-        _, _, behind = received.partition(b"\r\n\r\n")
-        assert behind == 2 * half + b"HTTP/1.1 100 Continue\r\n\r\n"
+        _, _, after_head = received.partition(b"\r\n\r\n")
+        assert after_head == 2 * half + b"HTTP/1.1 100 Continue\r\n\r\n"
         conn.sendall(b"hi")
         assert b"200 OK" in conn.recv(65536)
--- a/packages/lanedock-daemon/lanedock_daemon/path/tests/test_names.py
+++ b/packages/lanedock-daemon/lanedock_daemon/path/tests/test_names.py
@@ -1,8 +1,8 @@
 # SPDX-License-Identifier: BSD-3-Clause
-"""Tests of names that a header can't carry as they are.
+"""Tests of names with characters that header values can't contain.
 
-Each request of a route whose name has letters outside Latin-1 ended in a connection that
-was closed with no answer: names went into heads as they were.
+They guard against requests that end without an answer because a name with characters
+outside Latin-1 is written to a head without encoding.
 """
 
 import pytest
@@ -16,18 +16,18 @@
 
 @pytest.mark.parametrize("key", ["routes", "services", "traffic_classes"])
 @pytest.mark.parametrize("name", NAMES)
-def test_requests_are_served_whatever_names_are_made_of(make_chain, key, name):
+def test_requests_are_served_with_special_characters_in_names(make_chain, key, name):
     value = make_value()
-    former, value[key][0]["name"] = value[key][0]["name"], name
+    old_name, value[key][0]["name"] = value[key][0]["name"], name
     for route in value["routes"]:
         for field in ("service", "traffic_class"):
-            route[field] = name if route[field] == former else route[field]
+            route[field] = name if route[field] == old_name else route[field]
     check_value(value, "f")
     assert make_chain(value=value).request("GET")[0] == 200
 
 
 @pytest.mark.parametrize("name", ["get", *NAMES])
-def test_a_name_is_read_as_it_was_written(name):
+def test_encoded_name_decodes_to_the_same_name(name):
     written = write_name(name)
     assert written.isascii() and " " not in written
     assert read_name(written) == name
--- a/packages/lanedock-daemon/lanedock_daemon/path/tests/test_pacer.py
+++ b/packages/lanedock-daemon/lanedock_daemon/path/tests/test_pacer.py
@@ -1,5 +1,5 @@
 # SPDX-License-Identifier: BSD-3-Clause
-"""Tests of the pace of bodies; with a clock that is given."""
+"""Tests of the pacing of bodies, with explicit times in place of a clock."""
 
 import pytest
 
@@ -8,17 +8,17 @@
 from lanedock_daemon.path.exchange import CHUNK, PACED_PIECE, Pacer
 
 
-def test_pieces_leave_as_the_pace_has_it():
+def test_pieces_are_sent_at_the_requested_pace():
     pacer = Pacer(100_000, 5.0)
     assert pacer.piece_size == PACED_PIECE
     assert pacer.note_sent(8_000, 5.0) == pytest.approx(0.08)
-    # Late by itself, it catches up.
+    # After a delay of its own, the sender catches up.
     assert pacer.note_sent(8_000, 5.2) == 0.0
     assert pacer.note_sent(8_000, 5.2) == pytest.approx(0.04)
 
 
 @pytest.mark.parametrize("rate", [None, 0])
-def test_without_a_pace_nothing_waits(rate):
+def test_no_delay_without_a_pace(rate):
     assert Pacer(rate, 0.0).note_sent(10**9, 0.0) == 0.0
     assert Pacer(None, 0.0).piece_size == CHUNK
 
@@ -29,12 +29,12 @@
 
 
 @pytest.mark.parametrize("link_rate", [WIDE, None])
-def test_bodies_come_as_they_can_on_other_links(link_rate):
+def test_bodies_are_not_paced_on_wide_links_or_links_of_unknown_rate(link_rate):
     bodies = BodyAdmission(8, CLASSES, link_rate)
     assert [_admit(bodies, 0.0).pace for _ in range(2)] == [float("inf")] * 2
 
 
-def test_bodies_come_one_after_the_other_on_a_narrow_link():
+def test_narrow_link_admits_one_body_at_a_time():
     bodies = BodyAdmission(8, CLASSES, NARROW)
     first = _admit(bodies, 0.0)
     assert first.pace == 0.9 * NARROW
@@ -43,7 +43,7 @@
     assert bodies.waiting == 0
 
 
-def test_a_slow_sender_holds_up_no_others_on_a_narrow_link():
+def test_slow_sender_does_not_block_other_bodies_on_a_narrow_link():
     bodies = BodyAdmission(8, CLASSES, NARROW)
     slow = _admit(bodies, 0.0)
     bodies.note(slow, 1000, 0.01)
--- a/packages/lanedock-daemon/lanedock_daemon/path/tests/test_silence.py
+++ b/packages/lanedock-daemon/lanedock_daemon/path/tests/test_silence.py
@@ -1,5 +1,5 @@
 # SPDX-License-Identifier: BSD-3-Clause
-"""Tests of connections that fall silent without a reset while new ones work."""
+"""Tests of connections that stop delivering without a reset while new connections work."""
 
 import gevent
 import pytest
@@ -11,8 +11,8 @@
 
 
 @pytest.fixture
-def through_proxy(make_chain):
-    """Make a chain with a proxy on one of its links, over which several connections are kept."""
+def make_proxied_chain(make_chain):
+    """Make a chain with a proxy on one of its links, and several pooled connections through the proxy."""
     proxies = []
 
     def make(link: str):
@@ -29,8 +29,8 @@
             proxy = SilencingProxy(upstream.application.address)
             upstream.side._application = proxy.address
         proxies.append(proxy)
-        asked = [gevent.spawn(chain.request, "GET", f"/warm{number}") for number in range(3)]
-        assert [task.get()[0] for task in asked] == [200] * 3
+        warm_up = [gevent.spawn(chain.request, "GET", f"/warm{number}") for number in range(3)]
+        assert [task.get()[0] for task in warm_up] == [200] * 3
         assert proxy.accepted > 1
         return chain, proxy
 
@@ -40,10 +40,10 @@
 
 
 @pytest.mark.parametrize("link", ["daemons", "application"])
-def test_one_request_notices_and_the_next_goes_over_a_new_connection(through_proxy, link):
-    chain, proxy = through_proxy(link)
+def test_request_after_a_silent_connection_uses_a_new_connection(make_proxied_chain, link):
+    chain, proxy = make_proxied_chain(link)
     proxy.silence()
-    # It may have run: its outcome isn't known, and the connection isn't blamed on it alone.
+    # The request may have run, so its outcome is unknown. The idle connections are replaced, too.
     status, head, _ = chain.request("GET", "/first")
     assert status == 504 and "x-request-outcome: unknown" in head.lower()
     assert chain.request("GET", "/second")[0] == 200
@@ -51,8 +51,8 @@
 
 
 @pytest.mark.parametrize("link", ["daemons", "application"])
-def test_what_may_not_be_repeated_is_neither_lost_in_silence_nor_doubled(through_proxy, link):
-    chain, proxy = through_proxy(link)
+def test_non_repeatable_request_is_unknown_on_a_silent_connection_and_later_ones_run_once(make_proxied_chain, link):
+    chain, proxy = make_proxied_chain(link)
     proxy.silence()
     headers = "x-request-deadline-ms: 900\r\n"
     status, head, _ = chain.request("POST", "/first", b"x", headers)
@@ -65,9 +65,9 @@
 
 @pytest.mark.parametrize("link", ["daemons", "application"])
 @pytest.mark.parametrize("size", [2_000, 200_000])
-def test_an_answer_that_falls_silent_in_its_body_is_not_passed_off_as_whole(through_proxy, link, size):
-    """A short one is kept back until it is whole, and is unknown then; a long one is cut."""
-    chain, proxy = through_proxy(link)
+def test_answer_that_stops_in_its_body_is_not_delivered_as_complete(make_proxied_chain, link, size):
+    """A short answer is buffered until complete, so its outcome is unknown; a long answer is cut."""
+    chain, proxy = make_proxied_chain(link)
 
     def script(conn, head: str, body: bytes) -> bytes:
         before = proxy.passed
@@ -84,22 +84,22 @@
         assert status == 200 and len(body) < size
     chain.applications[0].script = None
     statuses = [chain.request("GET", f"/{number}")[0] for number in range(2)]
-    # One request may notice that the idle connections are silent, too.
+    # The first request may fail, because it detects that the idle connections are silent, too.
     assert statuses[-1] == 200
 
 
-def test_an_upload_that_waits_in_silence_to_be_asked_for_is_the_only_one(through_proxy):
-    """Found by reading: the wait for consent to a body had no limit but the request's own deadline.
+def test_only_the_first_upload_times_out_on_silent_connections(make_proxied_chain):
+    """Guards against idle silent connections that each use up the deadline of a later upload.
 
-    Bodies over 8 kB are sent once the other daemon asks for them. Over a connection that had fallen
-    silent nothing came; the idle ones beside it were kept, and took a deadline of each upload after it.
+    Bodies over 8 kB are sent once the other daemon asks for them. If the wait for that is limited by
+    the request's deadline only, the pool isn't told that the address has become silent.
     """
-    chain, proxy = through_proxy("daemons")
+    chain, proxy = make_proxied_chain("daemons")
     proxy.silence()
     headers = "x-request-deadline-ms: 900\r\n"
     body = bytes(20_000)
     status, head, _ = chain.request("POST", "/first", body, headers)
-    # Nothing of it was passed on, and that is said.
+    # No part of the body was passed on, and the outcome says so.
     assert status == 504 and "x-request-outcome: not-run" in head.lower()
     for number in range(4):
         assert chain.request("POST", f"/{number}", body, headers)[0] == 200
@@ -107,12 +107,12 @@
     assert chain.runs("/first") == 0
 
 
-def test_an_address_that_answers_others_keeps_its_connections(make_chain):
+def test_pool_keeps_connections_of_an_address_that_still_answers(make_chain):
     chain = make_chain(None)
     pool = chain.pool
     address = (HOST, chain.upstreams[0].server.port)
-    asked = [gevent.spawn(chain.request, "GET", f"/warm{number}") for number in range(3)]
-    gevent.joinall(asked)
+    warm_up = [gevent.spawn(chain.request, "GET", f"/warm{number}") for number in range(3)]
+    gevent.joinall(warm_up)
     wait_until(lambda: len(pool._idle[address]) > 1)
     sent_at = pool._heard_at[address] - 0.001
     assert not pool.note_late(address, sent_at)
--- a/packages/lanedock-daemon/lanedock_daemon/path/tests/test_stop_times.py
+++ b/packages/lanedock-daemon/lanedock_daemon/path/tests/test_stop_times.py
@@ -1,17 +1,10 @@
 # SPDX-License-Identifier: BSD-3-Clause
-"""Tests of what a stop takes requests to need.
+"""Tests of the expected duration of requests during a stop.
 
-What callers saw: late in a stop of an entry instance they sent a request on a
-connection that they kept, got the head of a long answer and a part of its body, and
-then the connection was cut.
-
-The order of events: answers of this kind begin at once and take a second to their last
-byte, as over a narrow link, and the daemon has passed several of them on. It stops. A
-request comes when less than that second is left; it is expected to end in time and is
-begun. The process ends while its answer streams.
-
-The cause: only the time until an answer's head was noted, and the stop's plan trusted it
-for the whole answer.
+They guard against answers that are cut by the end of the process. The head of such an
+answer comes at once, but its last byte takes a second, for example over a narrow link. If only
+the time until the head is recorded, a stopping daemon with less than a second left expects
+the request to end in time and starts it, and the process ends while the answer streams.
 """
 
 import gevent
@@ -25,12 +18,12 @@
 from lanedock_daemon.path.server import PathServer
 from lanedock_daemon.path.tests.chain import HOST, parse_answer, read_all, wait_until
 
-# Seconds from an answer's head to its last byte, and from a stop's beginning to its deadline.
+# Seconds from the head of an answer to its last byte, and from the start of a stop to its deadline.
 PAUSE = 0.6
 LIMIT = 0.5
 
 
-class _Slow:
+class _SlowApplication:
     """Sends an answer's head and a part of its body at once, and the rest after a pause.
 
     Parameters
@@ -41,7 +34,7 @@
     Attributes
     ----------
     begun : list of str
-        Paths of the requests that came.
+        Paths of the received requests.
     """
 
     def __init__(self, size: int):
@@ -56,11 +49,11 @@
         return part
 
 
-# Passed on once it is whole, and as it comes.
+# Sizes of an answer that is buffered until complete, and of one that is streamed.
 @pytest.mark.parametrize("size", [2_000, 200_000])
-def test_an_answer_that_would_outlast_the_stop_is_not_begun(make_chain, size):
-    slow = _Slow(size)
-    chain = make_chain(slow)
+def test_request_whose_answer_would_outlast_the_stop_is_refused(make_chain, size):
+    application = _SlowApplication(size)
+    chain = make_chain(application)
     plan = StopPlan(0.0, LIMIT)
     caller = CallerSide(chain.view, chain.pool, EventLogger("e"), NullMetrics(), NullTracer(), plan=plan)
     server = PathServer("e", Address(HOST, 0), caller, plan, EventLogger("e"))
@@ -70,11 +63,11 @@
         assert len(parse_answer(read_all(conn))[2]) == size
     with socket.create_connection((HOST, server.port), timeout=10) as conn:
         conn.sendall(b"POST /late HTTP/1.1\r\n")
-        wait_until(lambda: any(one._reader.is_in_head for one in server._connections))
+        wait_until(lambda: any(connection._reader.is_in_head for connection in server._connections))
         stopping = gevent.spawn(server.stop)
         wait_until(lambda: plan.is_begun)
         conn.sendall(b"host: h\r\ncontent-length: 0\r\n\r\n")
         status, head, _ = parse_answer(read_all(conn))
     stopping.join()
     assert (status, "x-request-outcome: not-run" in head) == (503, True)
-    assert slow.begun == ["/first"]
+    assert application.begun == ["/first"]
--- a/packages/lanedock-daemon/lanedock_daemon/path/tests/test_whole_answers.py
+++ b/packages/lanedock-daemon/lanedock_daemon/path/tests/test_whole_answers.py
@@ -1,14 +1,14 @@
 # SPDX-License-Identifier: BSD-3-Clause
-"""Answers that are given twice, or look whole though they were cut short.
+"""Tests against answers that are sent twice, or look complete although they were truncated.
 
-What users would see, found by a cold review before it was released: a request for an
-upgrade is run, answered 200 and then 501 "not run" behind it; a 503 whose body breaks off
-goes out with its whole length, and the next answer on the connection is taken for its
-body; to a caller of HTTP/1.0 an answer that was cut short ends like a whole one.
+They guard against these failures:
 
-Cause: the parser tells of an upgrade after the head counts as read; the body of a 503 that
-couldn't be read was taken for an empty one; without a length the end of the connection is
-the end of the answer, and it was closed as after a whole one.
+- An upgrade request runs and is answered 200, followed by 501 "not run". The parser reports an
+  upgrade only after the head has been queued as read.
+- A 503 whose body breaks off is passed on with its full content length and an empty body, so
+  that the caller takes the next answer on the connection for its body.
+- A truncated answer to HTTP/1.0 looks complete: without a length, the close of the connection
+  marks the end of the answer.
 """
 
 import gevent
@@ -16,8 +16,8 @@
 
 from lanedock_daemon.path.tests.chain import make_value, read_all
 
-PATIENCE = 5.0
-OTHER = b"HTTP/1.1 200 OK\r\ncontent-length: 5\r\n\r\nother"
+TIMEOUT = 5.0
+OTHER_ANSWER = b"HTTP/1.1 200 OK\r\ncontent-length: 5\r\n\r\nother"
 
 
 @pytest.mark.parametrize("protocol", ["websocket", "h2c"])
@@ -35,10 +35,10 @@
     "framing", [b"content-length: 100\r\n\r\nabc", b"transfer-encoding: chunked\r\n\r\n3\r\nabc\r\n"]
 )
 @pytest.mark.parametrize("is_late", [False, True])
-def test_a_failure_that_is_cut_short_does_not_pass_for_whole(make_chain, framing, is_late):
+def test_truncated_failure_is_reported_as_unknown(make_chain, framing, is_late):
     def script(conn, head, body):
         if not head.startswith("GET /x "):
-            return OTHER
+            return OTHER_ANSWER
         conn.sendall(b"HTTP/1.1 503 Service Unavailable\r\n" + framing)
         if is_late:
             conn.recv(1)
@@ -48,7 +48,7 @@
     for route in value["routes"]:
         route["deadline_ms"] = 300
     chain = make_chain(script, value=value)
-    with chain.connect() as conn, gevent.Timeout(PATIENCE):
+    with chain.connect() as conn, gevent.Timeout(TIMEOUT):
         conn.sendall(b"GET /x HTTP/1.1\r\nHost: h\r\n\r\n")
         first = conn.recv(65536)
         assert b" 503 " not in first
@@ -57,12 +57,12 @@
         assert read_all(conn).startswith(b"HTTP/1.1 200 ")
 
 
-def test_an_answer_that_ends_with_its_connection_is_reset_where_it_breaks_off(make_chain):
+def test_close_delimited_answer_that_breaks_off_resets_the_connection(make_chain):
     def script(conn, head, body):
         conn.sendall(b"HTTP/1.1 200 OK\r\ntransfer-encoding: chunked\r\n\r\n186a0\r\n" + b"." * 100_000 + b"\r\n")
 
     chain = make_chain(script)
-    with chain.connect() as conn, gevent.Timeout(PATIENCE):
+    with chain.connect() as conn, gevent.Timeout(TIMEOUT):
         conn.sendall(b"GET /x HTTP/1.0\r\nHost: h\r\n\r\n")
         with pytest.raises(ConnectionResetError):
             while conn.recv(65536):
