--- a/packages/lanedock-daemon/lanedock_daemon/path/connection.py
+++ b/packages/lanedock-daemon/lanedock_daemon/path/connection.py
@@ -20,7 +20,9 @@
 
 __all__ = ["Connection"]
 
+# Seconds for which an idle connection is kept unless the limits in force say otherwise.
 IDLE_TIMEOUT = 300.0
+# Seconds without new data after which a connection with an unfinished body ends.
 BODY_TIMEOUT = 30.0
 # Requests of one connection that are processed concurrently; reading pauses at this number.
 MAX_PIPELINED = 32
@@ -106,7 +108,7 @@
         self._greenlet.kill(_Expired, block=False)
 
     def is_idle(self) -> bool:
-        """Tell whether no request is in progress or being read, and no final answer is being delivered."""
+        """Tell whether no request is in progress or being read, and the connection isn't closing."""
         return not (self._exchanges or self._reader.is_in_head or self._reader.has_head() or self._is_closing)
 
     def end_if_idle(self) -> None:
@@ -128,7 +130,7 @@
             if self._is_closing:
                 self._discard_read_ahead()
                 continue
-            # Before new requests start: the next one may become the open exchange.
+            # Before new requests start, since one of them may replace the open exchange.
             if self._open_exchange is not None:
                 self._update_open_body()
             self._start_read_requests()
--- a/packages/lanedock-daemon/lanedock_daemon/path/parser.py
+++ b/packages/lanedock-daemon/lanedock_daemon/path/parser.py
@@ -11,6 +11,7 @@
 
 __all__ = ["MAX_HEAD_BYTES", "AnswerReader", "MalformedMessage", "MessageReader", "RequestReader"]
 
+# Maximum bytes per read from a connection.
 RECEIVE_SIZE = 64 * 1024
 MAX_HEAD_BYTES = 32 * 1024
 _BODILESS_STATUSES = (204, 304)
--- a/packages/lanedock-daemon/lanedock_daemon/path/server.py
+++ b/packages/lanedock-daemon/lanedock_daemon/path/server.py
@@ -20,13 +20,15 @@
 
 __all__ = ["PathServer"]
 
+# Seconds without new data after which an unfinished head is refused, unless the limits in force say otherwise.
 HEAD_TIMEOUT = 10.0
 BACKLOG = 1024
+# Seconds between checks for expired connections and new limits.
 SWEEP_INTERVAL = 1.0
 
 
 class PathServer(HttpService):
-    """HTTP server for daemons and operators; further parameters are those of `HttpService`.
+    """The default HTTP server. Parameters not listed here are those of `HttpService`.
 
     Parameters
     ----------
@@ -92,7 +94,7 @@
         return not (self.in_progress or self._connections)
 
     def read_timeouts(self) -> tuple[float, float]:
-        """Return the timeouts for reading a head and for idle connections, in seconds."""
+        """Return the timeouts of unfinished heads and of idle connections, in seconds."""
         if self.limits is None:
             return HEAD_TIMEOUT, IDLE_TIMEOUT
         return self.limits.header_timeout_ms / 1000, self.limits.idle_timeout_ms / 1000
--- a/packages/lanedock-daemon/lanedock_daemon/path/tests/test_closing.py
+++ b/packages/lanedock-daemon/lanedock_daemon/path/tests/test_closing.py
@@ -11,8 +11,8 @@
   a stop, the server closed such a connection as idle within 0.02 s.
 - Data sent after a refusal stays in memory (16 of 20 MB), because the end of the exchange extends
   the connection's time limit, and nothing reads the body any more.
-- A well-formed request in the same packet as a malformed one gets no answer, because the
-  parser's error ends the reader before the first request starts.
+- The caller gets only a 400 for a well-formed request and a malformed one in the same packet,
+  because the parser's error ends the reader before the first request starts.
 """
 
 import gevent
--- a/packages/lanedock-daemon/lanedock_daemon/path/tests/test_whole_answers.py
+++ b/packages/lanedock-daemon/lanedock_daemon/path/tests/test_whole_answers.py
@@ -5,8 +5,9 @@
 
 - An upgrade request runs and is answered 200, followed by 501 "not run". The parser reports an
   upgrade only after the head has been queued as read.
-- A 503 whose body breaks off is passed on with its full content length and an empty body, so
-  that the caller takes the next answer on the connection for its body.
+- A 503 whose body breaks off is passed on with its full content length, because the body of a
+  503 that can't be read is taken for an empty one. The caller then takes the next answer on the
+  connection for its body.
 - A truncated answer to HTTP/1.0 looks complete: without a length, the close of the connection
   marks the end of the answer.
 """
