--- a/packages/lanedock-daemon/lanedock_daemon/control/__init__.py
+++ b/packages/lanedock-daemon/lanedock_daemon/control/__init__.py
@@ -1,5 +1,5 @@
 # SPDX-License-Identifier: BSD-3-Clause
-"""The control role: replicated state, and the source of versions."""
+"""The control role: replicates the configuration and distributes its versions to daemons."""
 
 from lanedock_daemon.control.service import ControlService
 
--- a/packages/lanedock-daemon/lanedock_daemon/control/canaries.py
+++ b/packages/lanedock-daemon/lanedock_daemon/control/canaries.py
@@ -1,5 +1,5 @@
 # SPDX-License-Identifier: BSD-3-Clause
-"""Canary releases at a control instance: operators' orders, and the leader's steps."""
+"""Canary releases at a control instance: requests from operators, and steps decided by the leader."""
 
 import time
 from collections.abc import Callable
@@ -13,34 +13,34 @@
 from lanedock_daemon.control.log import AppliedEntry, ReplicatedLog
 from lanedock_daemon.control.requests import CanaryRequested
 
-__all__ = ["CanaryOrders"]
+__all__ = ["CanaryRequestHandler"]
 
-# Seconds after which an order that was not applied is answered as not known.
-ORDER_TIMEOUT = 3.0
-# Canaries in one reply.
-MAX_LISTED = 20
+# Seconds after which an operator whose command was not applied is told that its outcome is not known.
+COMMAND_TIMEOUT = 3.0
+# Maximum number of canaries in one reply.
+MAX_LISTED_CANARIES = 20
 
 
-class _Order:
-    """An order that waits for its entry."""
+class _PendingCommand:
+    """An operator's command that waits for its log entry to be applied."""
 
-    __slots__ = ("command", "item", "until")
+    __slots__ = ("command", "deadline", "item")
 
-    def __init__(self, item: CanaryRequested, command: messages.Command, until: float):
+    def __init__(self, item: CanaryRequested, command: messages.Command, deadline: float):
         self.item = item
         self.command = command
-        self.until = until
+        self.deadline = deadline
 
 
-class CanaryOrders:
-    """Answers operators on canary releases, and carries on those that run while its replica leads.
+class CanaryRequestHandler:
+    """Handles operators' canary requests, and advances running canaries while its replica leads.
 
     Parameters
     ----------
     log : ReplicatedLog
     policy : CanaryPolicy
     leader_address : callable
-        Returns the leader's address; empty where none is known.
+        Returns the leader's address; empty where no leader is known.
     events : EventLogger
     metrics : Metrics
     """
@@ -52,10 +52,10 @@
         self._events = events
         self._metrics = metrics
         self._controller: CanaryController | None = None
-        self._orders: dict[int, _Order] = {}
+        self._pending: dict[int, _PendingCommand] = {}
 
     def __repr__(self) -> str:
-        return f"<CanaryOrders waiting={len(self._orders)} {self._controller!r}>"
+        return f"<CanaryRequestHandler waiting={len(self._pending)} {self._controller!r}>"
 
     @property
     def _state(self):
@@ -64,13 +64,13 @@
     # ------------------------------------------------------------------ orders
 
     def ask(self, item: CanaryRequested, endpoints: list[messages.Endpoint], now: float) -> None:
-        """Accept an order or a question.
+        """Answer a query, or propose the command that an operator requests.
 
         Parameters
         ----------
         item : CanaryRequested
         endpoints : list of Endpoint
-            That are known here.
+            All endpoints that this control instance knows.
         now : float
             Monotonic, seconds.
         """
@@ -83,16 +83,16 @@
         elif request.action == messages.CANARY_START:
             self._start(item, endpoints, now)
         else:
-            self._decide_by_hand(item, now)
+            self._propose_operator_step(item, now)
 
     def _list(self, service: str, now: float) -> messages.CanaryReply:
         records = [record for record in self._state.records if not service or record.service == service]
         reply = messages.CanaryReply()
-        for record in records[: -MAX_LISTED - 1 : -1]:
-            reply.canaries.append(self._progress(record, now))
+        for record in records[: -MAX_LISTED_CANARIES - 1 : -1]:
+            reply.canaries.append(self._make_progress(record, now))
         return reply
 
-    def _progress(self, record: messages.CanaryRecord, now: float) -> messages.CanaryProgress:
+    def _make_progress(self, record: messages.CanaryRecord, now: float) -> messages.CanaryProgress:
         if self._controller is None:
             return messages.CanaryProgress(record=record)
         return self._controller.progress(record, now)
@@ -111,55 +111,55 @@
             item.call.finish(self._answer_start(result, now))
         elif not self._log.state.has_service(start.service):
             item.call.finish(_refuse(ErrorCode.SERVICE_UNKNOWN))
-        elif _is_everywhere(start, endpoints):
+        elif _is_rolled_out(start, endpoints):
             item.call.finish(_refuse(ErrorCode.CANARY_NOT_NEW))
         else:
-            self._propose(item, messages.Command(canary_start=start), now)
+            self._propose_command(item, messages.Command(canary_start=start), now)
 
-    def _decide_by_hand(self, item: CanaryRequested, now: float) -> None:
+    def _propose_operator_step(self, item: CanaryRequested, now: float) -> None:
         request = item.request
         record = self._state.newest(request.service)
         if record is None or record.phase != messages.CANARY_RUNNING:
             item.call.finish(_refuse(ErrorCode.CANARY_UNKNOWN))
             return
-        who = request.operator or "an operator"
+        operator = request.operator or "an operator"
         if request.action == messages.CANARY_PROMOTE:
-            step = make_step(record, messages.CANARY_RUNNING, FULL_SHARE, f"promoted by {who}")
+            step = make_step(record, messages.CANARY_RUNNING, FULL_SHARE, f"promoted by {operator}")
         else:
-            step = make_step(record, messages.CANARY_ROLLED_BACK, 0, f"aborted by {who}")
+            step = make_step(record, messages.CANARY_ROLLED_BACK, 0, f"aborted by {operator}")
         step.decided_at = time.time()
-        self._propose(item, messages.Command(canary_step=step), now)
+        self._propose_command(item, messages.Command(canary_step=step), now)
 
-    def _propose(self, item: CanaryRequested, command: messages.Command, now: float) -> None:
+    def _propose_command(self, item: CanaryRequested, command: messages.Command, now: float) -> None:
         index = self._log.propose(command)
         if index is None:
             item.call.finish(_refuse(ErrorCode.OUTCOME_NOT_KNOWN))
             return
-        self._orders[index] = _Order(item, command, now + ORDER_TIMEOUT)
+        self._pending[index] = _PendingCommand(item, command, now + COMMAND_TIMEOUT)
 
-    def settle(self, entry: AppliedEntry, now: float) -> None:
-        """Note that an entry was applied: log what became of it, and answer who waits for it."""
+    def handle_applied(self, entry: AppliedEntry, now: float) -> None:
+        """Log the result of an applied entry, and answer the operator who waits for it."""
         result = entry.result
         if isinstance(result, StartResult):
             self._log_start(result)
         elif entry.command.HasField("canary_step") and result:
             self._log_step(entry.command.canary_step)
-        order = self._orders.pop(entry.index, None)
-        if order is None:
+        pending = self._pending.pop(entry.index, None)
+        if pending is None:
             return
-        # Another leader's entry may have taken the index: then nothing is known of this order.
-        if order.command != entry.command:
-            order.item.call.finish(_refuse(ErrorCode.OUTCOME_NOT_KNOWN))
+        # Another leader's entry may have taken the index; the outcome of this command is then not known.
+        if pending.command != entry.command:
+            pending.item.call.finish(_refuse(ErrorCode.OUTCOME_NOT_KNOWN))
         elif isinstance(result, StartResult):
-            order.item.call.finish(self._answer_start(result, now))
+            pending.item.call.finish(self._answer_start(result, now))
         elif result:
-            order.item.call.finish(self._list(order.item.request.service, now))
+            pending.item.call.finish(self._list(pending.item.request.service, now))
         else:
-            order.item.call.finish(_refuse(ErrorCode.CANARY_UNKNOWN))
+            pending.item.call.finish(_refuse(ErrorCode.CANARY_UNKNOWN))
 
     def _answer_start(self, result: StartResult, now: float) -> messages.CanaryReply:
         reply = _refuse(result.code) if result.code is not None else messages.CanaryReply()
-        reply.canaries.append(self._progress(result.record, now))
+        reply.canaries.append(self._make_progress(result.record, now))
         return reply
 
     def _log_start(self, result: StartResult) -> None:
@@ -189,11 +189,11 @@
             step=step.step,
             share=step.share_permille / FULL_SHARE,
             reason=step.reason,
-            **self._figures(record),
+            **self._request_counts(record),
         )
 
-    def _figures(self, record: messages.CanaryRecord) -> dict[str, int]:
-        """Return what was seen of a canary; nothing where another replica leads."""
+    def _request_counts(self, record: messages.CanaryRecord) -> dict[str, int]:
+        """Return the request counts of a canary; empty where another replica leads."""
         if self._controller is None:
             return {}
         progress = self._controller.progress(record, monotonic())
@@ -205,36 +205,36 @@
         }
 
     def abandon_all(self) -> None:
-        """Answer everybody that the outcome is not known here any more."""
-        for order in self._orders.values():
-            order.item.call.finish(_refuse(ErrorCode.OUTCOME_NOT_KNOWN))
-        self._orders = {}
+        """Tell all waiting operators that the outcome is not known."""
+        for pending in self._pending.values():
+            pending.item.call.finish(_refuse(ErrorCode.OUTCOME_NOT_KNOWN))
+        self._pending = {}
 
     # -------------------------------------------------------------------- lead
 
     def advance(
         self, fleet: FleetView | None, list_endpoints: Callable[[], list[messages.Endpoint]], now: float
     ) -> bool:
-        """Decide on the canaries that run, as leader.
+        """Expire commands that timed out and, as leader, decide on the running canaries.
 
         Parameters
         ----------
         fleet : FleetView or None
             None where another replica leads.
         list_endpoints : callable
-            Returns those that are known here; asked while a canary runs.
+            Returns all known endpoints; called only while a canary runs.
         now : float
             Monotonic, seconds.
 
         Returns
         -------
         bool
-            Whether there are steps for the log to carry out.
+            Whether at least one step was proposed to the log.
         """
-        for index, order in list(self._orders.items()):
-            if now >= order.until:
-                del self._orders[index]
-                order.item.call.finish(_refuse(ErrorCode.OUTCOME_NOT_KNOWN))
+        for index, pending in list(self._pending.items()):
+            if now >= pending.deadline:
+                del self._pending[index]
+                pending.item.call.finish(_refuse(ErrorCode.OUTCOME_NOT_KNOWN))
         if fleet is None or not self._log.is_current_leader:
             self._controller = None
             return False
@@ -252,7 +252,7 @@
     return messages.CanaryReply(code=code.code, message=code.meaning, leader_address=leader_address)
 
 
-def _is_everywhere(start: messages.CanaryStart, endpoints: list[messages.Endpoint]) -> bool:
-    """Tell whether all upstreams of a service that take work report a version already."""
-    mine = [endpoint for endpoint in endpoints if endpoint.service == start.service and not endpoint.leaving]
-    return {endpoint.version for endpoint in mine} == {start.version}
+def _is_rolled_out(start: messages.CanaryStart, endpoints: list[messages.Endpoint]) -> bool:
+    """Return whether all upstreams of the service that are not leaving already run the version."""
+    serving = [endpoint for endpoint in endpoints if endpoint.service == start.service and not endpoint.leaving]
+    return {endpoint.version for endpoint in serving} == {start.version}
--- a/packages/lanedock-daemon/lanedock_daemon/control/directories.py
+++ b/packages/lanedock-daemon/lanedock_daemon/control/directories.py
@@ -1,5 +1,5 @@
 # SPDX-License-Identifier: BSD-3-Clause
-"""Where a control instance learns of endpoints: from the platform's list, or from the daemons themselves."""
+"""Directories of endpoints: from the platform's list, or from the registrations of daemons."""
 
 from abc import ABC, abstractmethod
 
@@ -12,28 +12,27 @@
 from lanedock.wire import messages
 from lanedock_daemon.control.distribution import DaemonSessions
 from lanedock_daemon.control.endpoints import EndpointExchange
-from lanedock_daemon.control.leader import SILENT_AFTER
+from lanedock_daemon.control.leader import SILENCE_TIMEOUT
 from lanedock_daemon.control.log import ReplicatedLog
 from lanedock_daemon.transport import PeerLinks, Session
 
 __all__ = ["ControlDirectory", "ListedDirectory", "RegisteredDirectory"]
 
-# Seconds that changes are gathered until a version says otherwise: the default of
-# `endpoint_window_ms`.
+# Seconds in which endpoint changes are batched before they are sent, unless the accepted version
+# sets `endpoint_window_ms`: the default of that setting.
 DEFAULT_ENDPOINT_WINDOW = 0.05
-# An endpoint that no control instance hears of is kept for this long, in
-# seconds: its daemon may have lost control only, and callers see for themselves
-# whether it answers.
-ENDPOINT_KEEP = 12.0
-# Seconds after which control instances that are listed in the settings send again which requests
-# are not passed on: their reports have no numbers, so nobody knows that one was lost. Within 3 s
-# of a third crash all daemons are to refuse. 135 bytes a second to each other control instance for
-# a request with three crashes, of 90 bytes each (quarantine/tests/test_core.py).
-SUSPICION_REPEAT = 2.0
+# Retention of an endpoint that is registered with no control instance, in seconds: its daemon may
+# only have lost its connection to control, and callers detect whether the endpoint answers.
+ENDPOINT_RETENTION = 12.0
+# Interval, in seconds, at which control instances that are listed in the settings repeat the
+# suspicions of quarantined requests: their reports have no numbers, so a lost one is not detected.
+# All daemons have to refuse a request within 3 s of its third crash. A request with three crashes,
+# of 90 bytes each (quarantine/tests/test_core.py), takes 135 bytes/s to each other control instance.
+SUSPICION_REPEAT_INTERVAL = 2.0
 
 
 class ControlDirectory(ABC):
-    """The endpoints that a control instance knows, and how it comes to know them.
+    """Endpoints known to a control instance, and their exchange with daemons and other control instances.
 
     Parameters
     ----------
@@ -42,7 +41,7 @@
     links : PeerLinks
     log : ReplicatedLog
     quarantine : Quarantine
-        Of the process; its news go to the other control instances, too.
+        Quarantine of the process; its suspicions are sent to the other control instances.
     """
 
     def __init__(
@@ -64,68 +63,68 @@
 
     @property
     def zones(self) -> dict[str, str]:
-        """Zones of control instances by name, as far as they are known."""
+        """Known zones of control instances, by instance name."""
         return {}
 
     def start(self, kernel: Kernel) -> None:
-        """Begin to learn of endpoints."""
+        """Start the sources of endpoints."""
 
     def stop(self) -> None:
-        """Learn no more."""
+        """Stop the sources of endpoints."""
 
     def set_window(self, window: float) -> None:
-        """Set how long changes are gathered, in seconds."""
+        """Set the time in which changes are batched, in seconds."""
         self._endpoints.window = window
 
     def whole_update(self) -> messages.EndpointUpdate:
-        """Return all endpoints, for a daemon that has just connected."""
+        """Return an update with all endpoints, for a daemon that has just connected."""
         return self._endpoints.whole_update()
 
     def endpoints(self) -> list[messages.Endpoint]:
-        """Return all endpoints that are known here."""
+        """Return all known endpoints."""
         return self._endpoints.endpoints()
 
     def broadcast(self, now: float) -> None:
-        """Send all daemons the changes that are due."""
+        """Send the batched changes to all daemons once they are due."""
         update = self._endpoints.take_update(now)
         if update is not None:
             self._sessions.broadcast_endpoints(update)
 
     def take_list(self, instances: list[Instance], now: float) -> None:
-        """Accept the platform's list."""
+        """Apply the platform's list of instances."""
 
     def greet(self, session: Session) -> None:
-        """Send a daemon that was admitted what it needs besides endpoints."""
+        """Send further information to a daemon that was just admitted."""
 
     @abstractmethod
-    def note_state(self, session: Session, message: messages.DaemonMessage, now: float) -> None:
-        """Accept what a daemon reports of itself, of its upstream, and of daemons downstream."""
+    def apply_report(self, session: Session, message: messages.DaemonMessage, now: float) -> None:
+        """Apply a daemon's report about itself, its upstream and the daemons that it relays for."""
 
     def leave(self, session: Session, now: float) -> None:
-        """Note that a daemon's stream has ended."""
+        """Handle the end of a daemon's stream."""
 
     @abstractmethod
     def receive(self, message: messages.PeerMessage, now: float) -> None:
-        """Accept another control instance's message on endpoints."""
+        """Handle another control instance's message about endpoints, draining daemons or suspicions."""
 
     @abstractmethod
     def tick(self, now: float) -> None:
-        """Do what is due by time alone."""
+        """Run the actions that depend only on time."""
 
     def advance(self, now: float) -> None:
-        """Send what has changed to the other control instances and to daemons."""
+        """Send changes to the other control instances and to daemons."""
 
 
 class ListedDirectory(ControlDirectory):
-    """Endpoints by the platform's list; daemons report only that they drain.
+    """Directory of the endpoints in the platform's list; daemons report only their draining.
 
     Parameters
     ----------
     cfg : ControlSettings
     name : str
-        Of this replica.
+        Name of this replica.
     task : TaskService
-        Takes ListRead.
+        Receives `ListRead` messages.
     events : EventLogger
     sessions : DaemonSessions
     links : PeerLinks
@@ -146,7 +145,7 @@
     ):
         self._directory = Directory(DEFAULT_ENDPOINT_WINDOW)
         super().__init__(self._directory, sessions, links, log, quarantine)
-        self._suspicions = quarantine.add_outbox()
+        self._suspicion_outbox = quarantine.add_outbox()
         self._repeat_at = 0.0
         self._cfg = cfg
         self._others = [replica for replica in cfg.replicas if replica != name]
@@ -169,8 +168,8 @@
     def take_list(self, instances: list[Instance], now: float) -> None:
         self._directory.take_list(instances, now)
 
-    def note_state(self, session: Session, message: messages.DaemonMessage, now: float) -> None:
-        """Let everybody know at once when a daemon, or one downstream of it, drains."""
+    def apply_report(self, session: Session, message: messages.DaemonMessage, now: float) -> None:
+        """Notify daemons and control instances when this daemon, or one that it relays for, starts to drain."""
         states = list(message.fleet_report.changed)
         if message.HasField("state"):
             states.append(message.state)
@@ -183,9 +182,9 @@
                 notice.incarnations.append(state.incarnation)
                 self._events.emit(Event.DRAINING, instance=state.daemon)
         if notice.instances:
-            self._send_to_others(messages.PeerMessage(drain_notice=notice))
+            self._send_to_all(messages.PeerMessage(drain_notice=notice))
 
-    def _send_to_others(self, message: messages.PeerMessage) -> None:
+    def _send_to_all(self, message: messages.PeerMessage) -> None:
         """Send a message to all other control instances."""
         for name in self._others:
             self._send(name, message)
@@ -197,12 +196,12 @@
         self._links.send([out])
 
     def advance(self, now: float) -> None:
-        news = self._quarantine.take_news(self._suspicions, now)
+        suspicions = self._quarantine.take_news(self._suspicion_outbox, now)
         if now >= self._repeat_at:
-            self._repeat_at = now + SUSPICION_REPEAT
-            news += self._quarantine.held_news(now)
-        if news:
-            self._send_to_others(_make_report(news))
+            self._repeat_at = now + SUSPICION_REPEAT_INTERVAL
+            suspicions += self._quarantine.held_news(now)
+        if suspicions:
+            self._send_to_all(_make_report(suspicions))
 
     def receive(self, message: messages.PeerMessage, now: float) -> None:
         suspicions = message.endpoint_report.suspicions
@@ -215,7 +214,7 @@
             self._directory.drain(name, incarnation, now)
 
     def tick(self, now: float) -> None:
-        """Have daemons confirm that others are unreachable which are listed and not connected here."""
+        """Request attestations for listed daemons that are not connected to control."""
         known = self._sessions.distributor.known_daemons()
         unconnected = [endpoint for endpoint in self._directory.endpoints() if endpoint.instance not in known]
         if unconnected:
@@ -223,12 +222,12 @@
 
 
 class RegisteredDirectory(ControlDirectory):
-    """Endpoints by what daemons report of themselves, here and at the other control instances.
+    """Directory of the endpoints that daemons register with any control instance.
 
     Parameters
     ----------
     zone : str
-        Of this control instance.
+        Zone of this control instance.
     sessions : DaemonSessions
     links : PeerLinks
     log : ReplicatedLog
@@ -238,9 +237,9 @@
     def __init__(
         self, zone: str, sessions: DaemonSessions, links: PeerLinks, log: ReplicatedLog, quarantine: Quarantine
     ):
-        registry = EndpointRegistry(DEFAULT_ENDPOINT_WINDOW, ENDPOINT_KEEP)
+        registry = EndpointRegistry(DEFAULT_ENDPOINT_WINDOW, ENDPOINT_RETENTION)
         super().__init__(registry, sessions, links, log, quarantine)
-        self._exchange = EndpointExchange(registry, zone, SILENT_AFTER, quarantine)
+        self._exchange = EndpointExchange(registry, zone, SILENCE_TIMEOUT, quarantine)
         self._sent_members: list[tuple[str, str]] = []
 
     @property
@@ -250,7 +249,7 @@
     def greet(self, session: Session) -> None:
         self._sessions.send_members([session], self._sent_members)
 
-    def note_state(self, session: Session, message: messages.DaemonMessage, now: float) -> None:
+    def apply_report(self, session: Session, message: messages.DaemonMessage, now: float) -> None:
         if session.child is not None:
             self._exchange.register(session, message, now)
 
@@ -259,22 +258,22 @@
 
     def receive(self, message: messages.PeerMessage, now: float) -> None:
         if message.WhichOneof("body") != "drain_notice":
-            self._links.send(self._exchange.take(message, now))
+            self._links.send(self._exchange.receive(message, now))
 
     def tick(self, now: float) -> None:
         self._exchange.expire(now)
 
     def advance(self, now: float) -> None:
-        self._links.send(self._exchange.due(self._other_replicas(), self._log.replica.me, now))
+        self._links.send(self._exchange.take_due(self._other_replicas(), self._log.replica.me, now))
         self._send_members()
 
     def _other_replicas(self) -> list[str]:
-        """Return the ids of the other replicas that take part."""
+        """Return the ids of the other voters and learners."""
         membership = self._log.replica.membership
         return [replica for replica in (*membership.voters, *membership.learners) if replica != self._log.replica.me]
 
     def _send_members(self) -> None:
-        """Name the control instances to the daemons, when they have changed."""
+        """Send the names and zones of control instances to all daemons when they have changed."""
         names = [replica_name(replica) for replica in (*self._other_replicas(), self._log.replica.me)]
         zones = self._exchange.zones
         members = [(name, zones.get(name, "")) for name in sorted(set(names))]
--- a/packages/lanedock-daemon/lanedock_daemon/control/distribution.py
+++ b/packages/lanedock-daemon/lanedock_daemon/control/distribution.py
@@ -1,5 +1,5 @@
 # SPDX-License-Identifier: BSD-3-Clause
-"""A control instance's sessions with daemons: admission, relays, floors."""
+"""Sessions of a control instance with daemons: admission, relays, version floors and attestations."""
 
 import hashlib
 
@@ -16,38 +16,40 @@
 
 __all__ = ["DaemonSessions", "make_version_source"]
 
-# Daemons that are admitted at once before the limit of admissions in a second holds: a
-# zone's restarted daemons, while a herd of hundreds is spread.
+# Burst size of the admission rate limit: large enough for the restarted daemons of one zone,
+# while a reconnection of hundreds of daemons is spread over time.
 ADMISSION_BURST = 64
-# Seconds between two questions to daemons whether others can be reached: each has some of
-# them try to connect, and it is asked only while a listed daemon is connected nowhere.
+# Minimum interval between two attestation requests, in seconds. Each request makes some daemons
+# open connections; requests are sent only while a listed daemon has no session anywhere.
 ATTEST_INTERVAL = 1.0
-# Daemons of a zone that are asked: one or two of them may be cut off or paused themselves.
-ATTESTERS = 3
-# Wait for a read's confirmation, in seconds, before it is asked again.
-READ_PATIENCE = 1.0
+# Daemons of each zone that receive an attestation request: one or two of them may be cut off
+# or paused themselves.
+ATTESTERS_PER_ZONE = 3
+# Seconds without confirmation after which a quorum read is repeated.
+READ_TIMEOUT = 1.0
 
 
 class _FloorRead:
-    """Floors that one read is to confirm."""
+    """Version floors that wait for the same quorum read."""
 
-    __slots__ = ("asked_at", "floors")
+    __slots__ = ("floors", "started_at")
 
-    def __init__(self, asked_at: float, floors: list[tuple[Session, int]]):
-        self.asked_at = asked_at
+    def __init__(self, started_at: float, floors: list[tuple[Session, int]]):
+        self.started_at = started_at
         self.floors = floors
 
 
 class DaemonSessions(SessionRegistry):
-    """The daemons that take versions from this control instance.
+    """Sessions of the daemons that receive versions from this control instance.
 
     Parameters
     ----------
     cfg : ControlSettings
     metrics : Metrics
     quarantine : Quarantine
-        Of the process.
+        Quarantine shared by the whole process.
     traffic : ControlTraffic, optional
+        Counts the bytes sent to daemons.
     """
 
     def __init__(
@@ -61,8 +63,8 @@
         self._traffic = traffic
         self._cfg = cfg
         self._admission = Admission(cfg.admissions_per_second, ADMISSION_BURST)
-        self._floors_wanted: list[tuple[Session, int]] = []
-        self._floors_asked: dict[int, _FloorRead] = {}
+        self._pending_floors: list[tuple[Session, int]] = []
+        self._floor_reads: dict[int, _FloorRead] = {}
         self._read_token = 0
         self._attestations: list[messages.Attestation] = []
         self._attest_at = 0.0
@@ -70,7 +72,7 @@
     # ---------------------------------------------------------------- sessions
 
     def arrive(self, session: Session, message: messages.DaemonMessage, endpoints) -> None:
-        """Admit a daemon, refer it to a relay, or refuse it with a time to try again."""
+        """Admit a daemon, redirect it to a relay, or refuse it with a retry delay."""
         now = monotonic()
         wait = self._admission.ask(now)
         if wait > 0:
@@ -89,22 +91,22 @@
     def _count(self, session: Session, message: messages.ControlMessage, size: int) -> None:
         super()._count(session, message, size)
         if self._traffic is not None:
-            self._traffic.note_daemon(session, message, size)
+            self._traffic.count_daemon_message(session, message, size)
 
     def _take(self, session: Session, message: messages.DaemonMessage) -> None:
         if message.HasField("fleet_report"):
             self.distributor.take_relayed(session.child, message.fleet_report)
         if message.floor_token:
-            self._floors_wanted.append((session, message.floor_token))
+            self._pending_floors.append((session, message.floor_token))
         self._attestations.extend(message.attestations)
 
     # ------------------------------------------------------------------ relays
 
     def _choose_relay(self, message: messages.DaemonMessage) -> messages.ControlMessage | None:
-        """Refer a daemon to a relay of its zone, where the zone has enough daemons.
+        """Return a redirect to a relay of the daemon's zone, or None to admit the daemon directly.
 
         The relays of a zone are the first of its directly connected daemons by
-        rendezvous hash, so they need no election and change little.
+        rendezvous hash, so relays need no election and rarely change.
         """
         state = message.state
         direct = [child.state for child in self.distributor.children.values() if child.state.zone == state.zone]
@@ -132,45 +134,45 @@
     # ----------------------------------------------------------------- outputs
 
     def set_source(self, source: VersionSource) -> None:
-        """Replace what is known of the versions."""
+        """Replace the versions that daemons are sent."""
         self.distributor.set_source(source)
 
     # ------------------------------------------------------------------ floors
 
     def next_read(self, now: float) -> int | None:
-        """Return the token of a read that confirms all floors wanted, if any.
+        """Start a quorum read for all pending floors; returns its token, or None where no floor is pending.
 
-        A question or its answer may be lost between replicas, so a read that
-        stays without an answer is asked again under another token.
+        Messages between replicas may be lost, so a read without an answer is
+        repeated under another token.
         """
-        for token, asked in list(self._floors_asked.items()):
-            if now - asked.asked_at > READ_PATIENCE:
+        for token, read in list(self._floor_reads.items()):
+            if now - read.started_at > READ_TIMEOUT:
                 self.fail_read(token)
-        if not self._floors_wanted:
+        if not self._pending_floors:
             return None
         self._read_token += 1
-        self._floors_asked[self._read_token] = _FloorRead(now, self._floors_wanted)
-        self._floors_wanted = []
+        self._floor_reads[self._read_token] = _FloorRead(now, self._pending_floors)
+        self._pending_floors = []
         return self._read_token
 
     def confirm_read(self, token: int, accepted: int) -> None:
-        """Answer the floors that a read has confirmed, after all versions due."""
-        asked = self._floors_asked.pop(token, None)
-        if asked is None:
+        """Send each daemon its floor that a quorum read has confirmed, after the versions due to it."""
+        read = self._floor_reads.pop(token, None)
+        if read is None:
             return
-        for session, floor_token in asked.floors:
+        for session, floor_token in read.floors:
             self._send_floor(session, floor_token, accepted)
 
     def fail_read(self, token: int) -> None:
-        """Ask again for the floors of a read that failed."""
-        asked = self._floors_asked.pop(token, None)
-        if asked is not None:
-            self._floors_wanted += [(session, floor) for session, floor in asked.floors if session in self._sessions]
+        """Return the floors of a failed read to the pending ones, for the next read."""
+        read = self._floor_reads.pop(token, None)
+        if read is not None:
+            self._pending_floors += [(session, floor) for session, floor in read.floors if session in self._sessions]
 
     # ------------------------------------------------------------ attestations
 
     def ask_attestations(self, unconnected: list[messages.Endpoint], now: float) -> None:
-        """Have daemons try to reach others of their zone that are not connected here."""
+        """Request daemons to try to connect to those of their zone that are not connected to control."""
         if now < self._attest_at:
             return
         self._attest_at = now + ATTEST_INTERVAL
@@ -184,20 +186,20 @@
         zones = {endpoint.zone for endpoint in unconnected}
         chosen: dict[str, list[Session]] = {zone: [] for zone in zones}
         for session in sorted(self._sessions, key=lambda item: item.child.state.daemon):
-            voices = chosen.get(session.child.state.zone)
-            if voices is not None and len(voices) < ATTESTERS:
-                voices.append(session)
-        return [session for voices in chosen.values() for session in voices]
+            attesters = chosen.get(session.child.state.zone)
+            if attesters is not None and len(attesters) < ATTESTERS_PER_ZONE:
+                attesters.append(session)
+        return [session for attesters in chosen.values() for session in attesters]
 
     def take_report(self, whole: bool) -> messages.FleetReport:
-        """Return what to report to the leader of the daemons."""
+        """Return the next report of daemons to the leader, with the attestations received since the last one."""
         report = self.distributor.take_report(whole)
         report.attestations.extend(self._attestations)
         self._attestations = []
         return report
 
     def is_report_due(self) -> bool:
-        """Tell whether there is something new to report to the leader."""
+        """Return whether there are changes or attestations to report to the leader."""
         return bool(self._attestations) or self.distributor.is_report_due()
 
 
@@ -206,7 +208,7 @@
 
 
 def make_version_source(state: MeshState) -> VersionSource:
-    """Return what daemons are sent: the accepted and the staged version, and the bases of deltas to them."""
+    """Return the accepted and the candidate version, and the accepted versions that deltas can start from."""
     bases = {}
     for number in state.kept_versions():
         record = state.records[number]
--- a/packages/lanedock-daemon/lanedock_daemon/control/endpoints.py
+++ b/packages/lanedock-daemon/lanedock_daemon/control/endpoints.py
@@ -1,5 +1,5 @@
 # SPDX-License-Identifier: BSD-3-Clause
-"""What control instances report to each other of the endpoints registered with them, and of suspected requests."""
+"""Exchange of registered endpoints and suspected requests between control instances."""
 
 from lanedock.consensus.core import replica_name
 from lanedock.membership import EndpointRegistry
@@ -8,39 +8,39 @@
 
 __all__ = ["EndpointExchange"]
 
-# Changes are gathered for this long, in seconds, before they are reported.
+# Minimum interval between two reports, in seconds, in which changes are batched.
 REPORT_INTERVAL = 0.02
-# A report, empty if need be, at least this often: by its number the others see
-# that one before it was lost.
+# Maximum interval between two reports, in seconds: without changes an empty report is sent, whose
+# number shows the receivers whether an earlier report was lost.
 KEEPALIVE_INTERVAL = 1.0
 
 
 class EndpointExchange:
-    """Reports to and from the other control instances.
+    """Sends and receives reports of endpoints and suspicions.
 
     Parameters
     ----------
     registry : EndpointRegistry
     zone : str
-        Of this control instance.
-    silent_after : float
-        Seconds after which a silent control instance's reports count no more.
+        Zone of this control instance.
+    silence_timeout : float
+        Seconds of silence after which a control instance's reports are discarded.
     quarantine : Quarantine
-        Its news go with the reports, whose numbers show that one was lost.
+        Its suspicions are sent with the reports, whose numbers reveal a lost one.
 
     Attributes
     ----------
     zones : dict of str to str
-        Zone by control instance, as far as it is known.
+        Known zones of control instances, by instance name.
     """
 
-    def __init__(self, registry: EndpointRegistry, zone: str, silent_after: float, quarantine: Quarantine):
+    def __init__(self, registry: EndpointRegistry, zone: str, silence_timeout: float, quarantine: Quarantine):
         self._quarantine = quarantine
-        self._suspicions = quarantine.add_outbox()
+        self._suspicion_outbox = quarantine.add_outbox()
         self.zones: dict[str, str] = {}
         self._registry = registry
         self._zone = zone
-        self._silent_after = silent_after
+        self._silence_timeout = silence_timeout
         self._heard_at: dict[str, float] = {}
         self._sessions: dict[str, object] = {}
         self._report_at = 0.0
@@ -52,7 +52,7 @@
     # ----------------------------------------------------------------- daemons
 
     def register(self, session, message: messages.DaemonMessage, now: float) -> None:
-        """Accept what a connected daemon reports of itself and of those downstream."""
+        """Apply a daemon's report about itself and the daemons that it relays for."""
         states = list(message.fleet_report.changed)
         if message.HasField("state"):
             states.append(message.state)
@@ -61,23 +61,23 @@
             if state.HasField("endpoint"):
                 self._registry.register(state.endpoint, now)
         for name in message.fleet_report.gone:
-            self._drop(session, name, now)
+            self._unregister(session, name, now)
 
     def leave(self, session, now: float) -> None:
-        """Note that a daemon's stream has ended."""
+        """Unregister the endpoints reported over a stream that has ended."""
         for name, owner in list(self._sessions.items()):
             if owner is session:
-                self._drop(session, name, now)
+                self._unregister(session, name, now)
 
-    def _drop(self, session, name: str, now: float) -> None:
+    def _unregister(self, session, name: str, now: float) -> None:
         if self._sessions.get(name) is session:
             del self._sessions[name]
             self._registry.unregister(name, now)
 
     # ---------------------------------------------------------------- replicas
 
-    def take(self, message: messages.PeerMessage, now: float) -> list[messages.PeerMessage]:
-        """Accept another control instance's message; returns what to send it."""
+    def receive(self, message: messages.PeerMessage, now: float) -> list[messages.PeerMessage]:
+        """Handle another control instance's message; returns the messages to send back."""
         sender = replica_name(message.sender)
         if message.HasField("endpoint_request"):
             reply = messages.PeerMessage(sender=message.receiver, receiver=message.sender)
@@ -87,8 +87,8 @@
             return [reply]
         report = message.endpoint_report
         self._heard_at[sender] = now
-        # What is new here goes to all others, too: two of them may not reach each other. It ends
-        # as soon as nobody learns anything from it.
+        # The quarantine forwards new suspicions to all other control instances, as two of them may
+        # not reach each other. Forwarding ends once no receiver finds a suspicion new.
         self._quarantine.merge(report.suspicions, now)
         if report.zone:
             self.zones[sender] = report.zone
@@ -98,38 +98,38 @@
         request.endpoint_request.SetInParent()
         return [request]
 
-    def due(self, replicas: list[str], me: str, now: float) -> list[messages.PeerMessage]:
-        """Return the reports that the other control instances are to be sent now.
+    def take_due(self, replicas: list[str], me: str, now: float) -> list[messages.PeerMessage]:
+        """Return the reports to send to the other control instances now.
 
         Parameters
         ----------
         replicas : list of str
-            Ids of the others.
+            Ids of the other control instances.
         me : str
-            This one's id.
+            Id of this control instance.
         now : float
             Monotonic, seconds.
         """
         self.zones[replica_name(me)] = self._zone
-        is_due = self._registry.is_report_due() or bool(self._suspicions) or now >= self._keepalive_at
+        is_due = self._registry.is_report_due() or bool(self._suspicion_outbox) or now >= self._keepalive_at
         if now < self._report_at or not is_due:
             return []
         self._report_at = now + REPORT_INTERVAL
         self._keepalive_at = now + KEEPALIVE_INTERVAL
         report = self._registry.make_report()
-        report.suspicions.extend(self._quarantine.take_news(self._suspicions, now))
+        report.suspicions.extend(self._quarantine.take_news(self._suspicion_outbox, now))
         report.zone = self._zone
-        out = []
+        reports = []
         for replica in replicas:
             message = messages.PeerMessage(sender=me, receiver=replica)
             message.endpoint_report.CopyFrom(report)
-            out.append(message)
-        return out
+            reports.append(message)
+        return reports
 
     def expire(self, now: float) -> None:
-        """Let go of what silent control instances and lost daemons have reported."""
+        """Drop the reports of silent control instances and the endpoints of lost daemons."""
         for replica, heard_at in list(self._heard_at.items()):
-            if now - heard_at > self._silent_after:
+            if now - heard_at > self._silence_timeout:
                 del self._heard_at[replica]
                 self._registry.forget_source(replica, now)
         self._registry.expire(now)
--- a/packages/lanedock-daemon/lanedock_daemon/control/leader.py
+++ b/packages/lanedock-daemon/lanedock_daemon/control/leader.py
@@ -1,5 +1,5 @@
 # SPDX-License-Identifier: BSD-3-Clause
-"""What a control instance reports to the leader of its daemons, and what it does with such reports as the leader."""
+"""Reports of daemons to the leader, and the leader's decisions on rollouts."""
 
 import time
 
@@ -12,21 +12,21 @@
 from lanedock_daemon.control.log import ReplicatedLog
 from lanedock_daemon.control.submissions import SubmissionQueue
 
-__all__ = ["SILENT_AFTER", "FleetReporter", "RolloutLeader"]
+__all__ = ["SILENCE_TIMEOUT", "FleetReporter", "RolloutLeader"]
 
-# Changes of daemons are gathered for this long, in seconds, before the leader is sent
-# them: daemons that activate a version together take one message.
+# Minimum interval between two reports to the leader, in seconds: the changes of daemons that
+# activate a version together are batched into one message.
 REPORT_INTERVAL = 0.01
-# A report, empty if need be, at least this often, in seconds: the leader would take an
-# instance that sends none for silent.
+# Maximum interval between two reports, in seconds: without changes an empty report is sent, so that
+# the leader does not consider this control instance silent.
 KEEPALIVE_INTERVAL = 1.0
-# What a control instance has reported counts no more when it has been silent for this
-# long, in seconds: three reports that must come were lost.
-SILENT_AFTER = 3.0
+# Seconds of silence after which the leader discards the reports of a control instance: three
+# keep-alive reports in a row were lost.
+SILENCE_TIMEOUT = 3.0
 
 
 class FleetReporter:
-    """Decides when the leader is sent a report of the daemons that are connected here."""
+    """Schedules the reports to the leader about the daemons connected to this control instance."""
 
     def __init__(self):
         self._reported_to = ("", 0)
@@ -37,11 +37,11 @@
         return f"<FleetReporter reported_to={self._reported_to}>"
 
     def restart(self) -> None:
-        """Have the next report name all daemons: the leader lacks one before."""
+        """Make the next report name all daemons, after the leader has missed an earlier report."""
         self._reported_to = ("", 0)
 
     def take_due(self, sessions: DaemonSessions, replica: RaftReplica, now: float) -> messages.FleetReport | None:
-        """Return the report that the leader is to be sent now; None where none is due."""
+        """Return the report to send to the leader now, or None where no report is due."""
         target = (replica.leader, replica.term)
         if not replica.leader or now < self._report_at:
             return None
@@ -55,7 +55,7 @@
 
 
 class RolloutLeader:
-    """Gathers reports, decides on the candidate and answers operators, while its replica leads.
+    """Collects reports, decides on the candidate and answers operators while its replica leads.
 
     Parameters
     ----------
@@ -66,7 +66,7 @@
     Attributes
     ----------
     fleet : FleetView or None
-        None while another replica leads.
+        The daemons of the mesh; None while another replica leads.
     """
 
     def __init__(self, log: ReplicatedLog, policy: RolloutPolicy, submissions: SubmissionQueue):
@@ -81,28 +81,28 @@
         return f"<RolloutLeader {self.fleet!r}>"
 
     def take_list(self, instances: list[Instance], now: float) -> None:
-        """Accept the platform's list."""
+        """Store the platform's list of instances, and pass it to the fleet view."""
         self._instances = instances
         if self.fleet is not None:
             self.fleet.take_list(instances, now)
 
-    def take_own_report(self, report: messages.FleetReport, now: float) -> None:
-        """Accept the report of the daemons that are connected here."""
+    def apply_own_report(self, report: messages.FleetReport, now: float) -> None:
+        """Apply this control instance's own report of daemons."""
         if self.fleet is None:
-            self._begin(now)
+            self._start_leading(now)
         self.fleet.take_report(self._log.replica.me, report, now)
 
     def take_report(self, message: messages.PeerMessage, now: float) -> bool:
-        """Accept another instance's report; False where it has to report all daemons anew."""
+        """Apply another control instance's report; returns False where it has to report all its daemons again."""
         if self.fleet is None or message.term != self._log.replica.term:
             return True
         return self.fleet.take_report(message.sender, message.fleet_report, now)
 
     def refresh(self, now: float) -> bool:
-        """Begin or end to lead, as the replica does; returns whether it leads."""
+        """Start or stop leading to match the replica's role; returns whether this replica leads."""
         if self._log.is_current_leader:
             if self.fleet is None:
-                self._begin(now)
+                self._start_leading(now)
             return True
         if self._log.replica.leader != self._log.replica.me:
             self.fleet = self._coordinator = None
@@ -110,14 +110,14 @@
                 self._submissions.abandon_all()
         return False
 
-    def _begin(self, now: float) -> None:
-        self.fleet = FleetView(self._policy.dead_after, SILENT_AFTER)
+    def _start_leading(self, now: float) -> None:
+        self.fleet = FleetView(self._policy.dead_after, SILENCE_TIMEOUT)
         if self._instances is not None:
             self.fleet.take_list(self._instances, now)
         self._coordinator = RolloutCoordinator(self._log.state, self.fleet, self._policy)
 
     def decide(self, now: float) -> bool:
-        """Decide on the candidate; returns whether there is a decision for the log to carry out."""
+        """Propose the decision on the candidate, if there is one; returns whether there was one."""
         self.fleet.drop_silent(now)
         command = self._coordinator.decide(now, time.time())
         if command is None:
@@ -127,11 +127,11 @@
         return True
 
     def answer(self) -> None:
-        """Let operators who wait know how far their versions have come."""
+        """Report the progress of their versions to waiting operators."""
         if not self._submissions.is_empty():
-            self._submissions.advance(self._log.state.records, self._look_up)
+            self._submissions.advance(self._log.state.records, self._find_progress)
 
-    def _look_up(self, version: int, allowed_zones: set[str]):
+    def _find_progress(self, version: int, allowed_zones: set[str]):
         progress = self._coordinator.progress(version, allowed_zones, monotonic())
         cut_off = [name for name in self.fleet.missing() if self.fleet.zone_of(name) in allowed_zones]
         return progress, cut_off
--- a/packages/lanedock-daemon/lanedock_daemon/control/log.py
+++ b/packages/lanedock-daemon/lanedock_daemon/control/log.py
@@ -1,5 +1,5 @@
 # SPDX-License-Identifier: BSD-3-Clause
-"""The driver of the consensus core: disk, messages, applied state."""
+"""Driver of the consensus core: saves entries, sends messages and applies committed entries."""
 
 import secrets
 
@@ -19,18 +19,18 @@
 
 
 def open_storage(storage: FileStorage, name: str, names: list[str], initial: bool, events: EventLogger) -> str:
-    """Make sure that the data folder belongs to a replica of this name.
+    """Check that the data folder belongs to this replica, and initialize a new folder.
 
     Parameters
     ----------
     storage : FileStorage
     name : str
     names : list of str
-        Of all replicas.
+        Names of all initial voters.
     initial : bool
-        Whether a new folder may take part from the start. Only said once, when
-        the mesh is set up: a replica that lost its disk must not vote as its
-        old self, so without it a new folder joins under a new incarnation.
+        Whether a new folder starts as a voter. Given only once, when the mesh
+        is set up: a replica that lost its disk must not vote under its former
+        id, so without `initial` a new folder joins under a new incarnation.
 
     Returns
     -------
@@ -40,12 +40,12 @@
     Raises
     ------
     StorageError
-        The folder is another replica's, or can't be read.
+        The folder belongs to another replica, or cannot be read.
     """
     replica = storage.read_identity()
     if replica:
         if replica.partition("@")[0] != name:
-            raise StorageError(ErrorCode.FOREIGN_FOLDER, f"the folder is that of {replica}, not of {name}")
+            raise StorageError(ErrorCode.FOREIGN_FOLDER, f"the data folder belongs to replica {replica}, not to {name}")
         return replica
     if initial:
         replica = f"{name}@{FIRST_INCARNATION}"
@@ -59,7 +59,7 @@
 
 
 class AppliedEntry:
-    """A committed entry that was applied.
+    """An applied log entry, with the result of its command.
 
     Parameters
     ----------
@@ -81,7 +81,7 @@
 
 
 class ReplicatedLog:
-    """Runs a replica: feeds the core, and does what the core says.
+    """Runs a replica: passes proposals to the core, and carries out the core's output.
 
     Parameters
     ----------
@@ -92,7 +92,7 @@
     events : EventLogger
     metrics : Metrics
     compact_bytes : int
-        Length of the log at which it is compacted.
+        Size of the log on disk, in bytes, at which it is compacted.
     """
 
     def __init__(self, replica: RaftReplica, storage: FileStorage, send, events, metrics: Metrics, compact_bytes: int):
@@ -116,26 +116,26 @@
 
     @property
     def is_current_leader(self) -> bool:
-        """Whether this replica leads and has applied all that was accepted before."""
+        """Whether this replica leads and has applied every entry committed under earlier leaders."""
         return self.replica.is_leader(monotonic()) and self.replica.has_own_commit(self._applied)
 
     def propose(self, command: messages.Command) -> int | None:
-        """Propose a command; returns its index, or None where this is no leader."""
+        """Propose a command; returns its index, or None where this replica does not lead."""
         return self.replica.propose(command.SerializeToString(), monotonic())
 
-    def pump(self) -> list[AppliedEntry]:
-        """Do what the core has gathered.
+    def process_ready(self) -> list[AppliedEntry]:
+        """Save, send and apply everything that the core has ready.
 
         Returns
         -------
         list of AppliedEntry
-            What was applied. A snapshot from the leader replaces `state` and
-            shows here as nothing.
+            The entries applied. A snapshot from the leader replaces `state`
+            without adding entries to this list.
 
         Raises
         ------
         StorageError
-            The disk failed; the replica must take no part any more.
+            The disk failed; the replica must stop taking part.
         """
         applied = []
         while True:
@@ -216,22 +216,23 @@
         self._events.emit(Event.COMPACTED, index=snapshot.index, bytes=self._storage.size())
 
 
-def _run_in_thread(write, *arguments) -> None:
-    """Run a write in a thread of gevent's pool, so that other tasks go on meanwhile.
+def _run_in_thread(write, *args) -> None:
+    """Run a disk write in a thread of gevent's pool, so that other greenlets keep running.
 
     Raises
     ------
     StorageError
-        As the write does. It is carried over by hand: the pool would print it.
+        Raised by the write. The thread returns the error instead of raising
+        it, as the pool would print the traceback.
     """
-    failure = gevent.get_hub().threadpool.apply(_catch, (write, *arguments))
+    failure = gevent.get_hub().threadpool.apply(_return_error, (write, *args))
     if failure is not None:
         raise failure
 
 
-def _catch(write, *arguments) -> StorageError | None:
+def _return_error(write, *args) -> StorageError | None:
     try:
-        write(*arguments)
+        write(*args)
     except StorageError as exc:
         return exc
     return None
--- a/packages/lanedock-daemon/lanedock_daemon/control/peers.py
+++ b/packages/lanedock-daemon/lanedock_daemon/control/peers.py
@@ -1,5 +1,5 @@
 # SPDX-License-Identifier: BSD-3-Clause
-"""gRPC links to the other control replicas."""
+"""gRPC links to the other control replicas, with reconnection."""
 
 import asyncio
 import random
@@ -17,19 +17,21 @@
 
 __all__ = ["GrpcLinks"]
 
+# Messages queued for one replica; when the queue is full, the oldest is dropped.
 MAX_QUEUE = 512
+# Bounds of the delay before a reconnection, in seconds.
 RECONNECT_MIN = 0.05
 RECONNECT_MAX = 1.0
-# Seconds in which a link has to be made.
-CONNECT_LIMIT = 3.0
-# Seconds in which a message has to be handed to the connection, for a peer with so large a
-# window that the socket fills, which hides its end: the largest version, 16 MB, takes a minute
-# on a link of 2 Mbit/s.
-SEND_LIMIT = 60.0
+# Timeout for opening a link, in seconds.
+OPEN_TIMEOUT = 3.0
+# Timeout for writing one message to the connection, in seconds. With a large flow-control window
+# the socket buffer fills instead, which hides that the peer is gone. The largest version, 16 MB,
+# takes a minute on a link of 2 Mbit/s.
+SEND_TIMEOUT = 60.0
 
 
 class _Link:
-    """The link to one replica: a queue and the stream that empties it."""
+    """The link to one replica: a queue of messages and the stream that sends them."""
 
     def __init__(self, address: Address, context):
         self.address = address
@@ -37,7 +39,7 @@
         self.queue: asyncio.Queue = asyncio.Queue(MAX_QUEUE)
 
     def put(self, message: messages.PeerMessage) -> None:
-        """Queue a message; the protocol bears the loss of the oldest."""
+        """Queue a message; a full queue drops its oldest, a loss that the consensus protocol tolerates."""
         if self.queue.full():
             self.queue.get_nowait()
         self.queue.put_nowait(message)
@@ -47,34 +49,34 @@
         while True:
             opened_at = monotonic()
             try:
-                await self._stream()
+                await self._send_queued()
             except (TimeoutError, OSError, GRPCError, StreamTerminatedError):
                 pass
             delay = RECONNECT_MIN if monotonic() - opened_at > RECONNECT_MAX else min(delay * 2, RECONNECT_MAX)
             await asyncio.sleep(random.uniform(0, delay))
 
-    async def _stream(self) -> None:
-        # Only what the peer confirms over this connection counts: what it sends over its own
-        # link, such as calls for votes since it hears no leader, says nothing of this one.
+    async def _send_queued(self) -> None:
+        # Only confirmations over this connection show that it works. Messages over the peer's own
+        # link, such as vote requests because it hears no leader, do not.
         channel = make_channel(self.address, self.context, SILENCE_LIMIT, CONFIRMATIONS)
         try:
             async with ReplicationStub(channel).Deliver.open() as stream:
-                await asyncio.wait_for(stream.send_request(), CONNECT_LIMIT)
+                await asyncio.wait_for(stream.send_request(), OPEN_TIMEOUT)
                 while True:
                     message = await self.queue.get()
-                    await asyncio.wait_for(stream.send_message(message), SEND_LIMIT)
+                    await asyncio.wait_for(stream.send_message(message), SEND_TIMEOUT)
         finally:
             channel.close()
 
 
 class GrpcLinks(PeerLinks):
-    """Links to all other replicas, by name.
+    """Links to all other replicas.
 
     Parameters
     ----------
     loop : LoopService
     addresses : dict of str to Address
-        The other replicas.
+        Addresses of the other replicas, by name.
     context : ssl.SSLContext or None
     """
 
@@ -97,4 +99,4 @@
                 link.put(message)
 
     def note_heard(self, sender: str, now: float) -> None:
-        """Nothing to note: every peer confirms over the link itself."""
+        """Do nothing: every peer confirms over the link itself."""
--- a/packages/lanedock-daemon/lanedock_daemon/control/platform.py
+++ b/packages/lanedock-daemon/lanedock_daemon/control/platform.py
@@ -1,5 +1,5 @@
 # SPDX-License-Identifier: BSD-3-Clause
-"""The task that reads the platform's list."""
+"""Service that reads the platform's list of instances at intervals."""
 
 import gevent
 
@@ -13,15 +13,15 @@
 
 
 class PlatformReader(Service):
-    """Reads the list at intervals and posts it to a task.
+    """Reads the platform's list at intervals and posts it to a task.
 
     Parameters
     ----------
     source : PlatformList
     task : TaskService
-        Takes ListRead.
+        Receives `ListRead` messages.
     interval : float
-        Seconds.
+        Time between two reads, in seconds.
     events : EventLogger
     """
 
@@ -33,7 +33,7 @@
         self._interval = interval
         self._events = events
         self._was_readable = True
-        self._refused = ""
+        self._first_refused = ""
         self._task = None
 
     def start(self, kernel: Kernel) -> None:
@@ -47,17 +47,17 @@
             try:
                 self._target.post(ListRead(self._source.read()))
                 self._was_readable = True
-                self._note_refused()
+                self._log_refused()
             except LanedockError as exc:
                 if self._was_readable:
                     self._events.emit(Event.PLATFORM_UNREADABLE, error=exc)
                 self._was_readable = False
             gevent.sleep(self._interval)
 
-    def _note_refused(self) -> None:
-        """Log entries that are left out, once as long as they stay the same."""
+    def _log_refused(self) -> None:
+        """Log the refused entries of the list, again only when the first of them changes."""
         findings = self._source.findings
         refused = str(findings[0]) if findings else ""
-        if refused and refused != self._refused:
+        if refused and refused != self._first_refused:
             self._events.emit(Event.PLATFORM_ENTRIES_REFUSED, count=len(findings), first=refused)
-        self._refused = refused
+        self._first_refused = refused
--- a/packages/lanedock-daemon/lanedock_daemon/control/quarantine.py
+++ b/packages/lanedock-daemon/lanedock_daemon/control/quarantine.py
@@ -1,5 +1,5 @@
 # SPDX-License-Identifier: BSD-3-Clause
-"""Operators' questions about requests that are quarantined; any control instance can answer them."""
+"""Operators' queries about quarantined requests, which any control instance can answer."""
 
 from lanedock.quarantine import Quarantine
 from lanedock.wire import messages
@@ -9,7 +9,7 @@
 
 
 def answer_operator(item: QuarantineRequested, quarantine: Quarantine, now: float) -> None:
-    """List what is quarantined, after clearing what the operator wants cleared.
+    """Clear the request that the operator names, if any, and reply with all quarantined requests.
 
     Parameters
     ----------
--- a/packages/lanedock-daemon/lanedock_daemon/control/queries.py
+++ b/packages/lanedock-daemon/lanedock_daemon/control/queries.py
@@ -1,5 +1,5 @@
 # SPDX-License-Identifier: BSD-3-Clause
-"""Operators' questions that wait for their answer: status, history, contents."""
+"""Operators' queries for the status, the history and the contents of versions."""
 
 from collections.abc import Callable
 
@@ -14,22 +14,21 @@
 
 __all__ = ["QueryQueue"]
 
-# Versions in a reply where the operator names no number: what fits on a screen.
+# Maximum number of versions in a history reply where the operator names none: what fits on a screen.
 DEFAULT_LIMIT = 20
-# Wait for a leader to be there, in seconds, before a question is answered by
-# what this replica knows itself.
-PATIENCE = 1.5
+# Seconds to wait for a leader before a query is answered from this replica's own, unconfirmed state.
+LEADER_TIMEOUT = 1.5
 
 
 class QueryQueue:
-    """Questions that wait for their answer.
+    """Queries that wait for a leader to answer them.
 
     Parameters
     ----------
     address_of : callable
-        Returns the address of a replica by its name.
+        Takes a replica's name; returns its address, or None where it is not known.
     name : str
-        This replica's.
+        Name of this replica.
     """
 
     def __init__(self, address_of: Callable[[str], Address | None], name: str):
@@ -38,43 +37,43 @@
         self._waiting: list[tuple[object, float]] = []
 
     def ask(self, item) -> None:
-        """Accept a question."""
-        self._waiting.append((item, monotonic() + PATIENCE))
+        """Queue a query."""
+        self._waiting.append((item, monotonic() + LEADER_TIMEOUT))
 
     def abandon_all(self) -> None:
-        """Answer all questions without knowledge."""
+        """Answer all waiting queries with an empty reply and the code for no leader."""
         for item, _ in self._waiting:
-            item.call.reply(_make_empty(item, ErrorCode.NO_LEADER, ""))
+            item.call.reply(_make_empty_reply(item, ErrorCode.NO_LEADER, ""))
         self._waiting = []
 
     def advance(self, log: ReplicatedLog, fleet: FleetView | None, now: float) -> None:
-        """Answer what can be answered now.
+        """Answer the queries that can be answered now.
 
-        The leader answers under its lease, so what it says was true at some
-        moment between question and answer.
+        The leader answers under its lease, so its answer was true at some
+        moment between query and reply.
         """
         waiting = []
-        for item, patience_until in self._waiting:
+        for item, deadline in self._waiting:
             leader = replica_name(log.replica.leader)
             if log.is_current_leader and fleet is not None:
                 item.call.reply(self._answer(item, log, fleet, confirmed=True))
             elif leader and leader != self._name:
-                item.call.reply(_make_empty(item, ErrorCode.NOT_LEADER, str(self._address_of(leader) or "")))
-            elif now >= patience_until:
+                item.call.reply(_make_empty_reply(item, ErrorCode.NOT_LEADER, str(self._address_of(leader) or "")))
+            elif now >= deadline:
                 item.call.reply(self._answer(item, log, fleet, confirmed=False))
             else:
-                waiting.append((item, patience_until))
+                waiting.append((item, deadline))
         self._waiting = waiting
 
     def _answer(self, item, log: ReplicatedLog, fleet: FleetView | None, confirmed: bool):
         code = "" if confirmed else ErrorCode.NO_LEADER.code
         if isinstance(item, HistoryRequested):
-            return _make_history(item, log, code)
+            return _make_history_reply(item, log, code)
         if isinstance(item, ShowRequested):
-            return _make_show(item, log, code)
-        return self._make_status(log, fleet, code, confirmed)
+            return _make_show_reply(item, log, code)
+        return self._make_status_reply(log, fleet, code, confirmed)
 
-    def _make_status(self, log: ReplicatedLog, fleet: FleetView | None, code: str, confirmed: bool):
+    def _make_status_reply(self, log: ReplicatedLog, fleet: FleetView | None, code: str, confirmed: bool):
         state = log.state
         reply = messages.StatusReply(
             accepted_version=state.accepted_version.number,
@@ -97,7 +96,7 @@
         return reply
 
 
-def _make_history(item, log: ReplicatedLog, code: str) -> messages.HistoryReply:
+def _make_history_reply(item, log: ReplicatedLog, code: str) -> messages.HistoryReply:
     reply = messages.HistoryReply(code=code)
     numbers = sorted(log.state.records, reverse=True)
     for number in numbers[: item.request.limit or DEFAULT_LIMIT]:
@@ -108,7 +107,7 @@
     return reply
 
 
-def _make_show(item, log: ReplicatedLog, code: str) -> messages.ShowReply:
+def _make_show_reply(item, log: ReplicatedLog, code: str) -> messages.ShowReply:
     number = item.request.version or log.state.accepted_version.number
     tree = log.state.tree(number)
     if tree is None:
@@ -116,7 +115,7 @@
     return messages.ShowReply(version=number, content=tree.pack(), code=code)
 
 
-def _make_empty(item, code: ErrorCode, leader_address: str):
+def _make_empty_reply(item, code: ErrorCode, leader_address: str):
     kinds = {HistoryRequested: messages.HistoryReply, ShowRequested: messages.ShowReply}
     kind = kinds.get(type(item), messages.StatusReply)
     return kind(code=code.code, leader_address=leader_address)
--- a/packages/lanedock-daemon/lanedock_daemon/control/requests.py
+++ b/packages/lanedock-daemon/lanedock_daemon/control/requests.py
@@ -1,5 +1,5 @@
 # SPDX-License-Identifier: BSD-3-Clause
-"""Messages to the control task."""
+"""Messages to the control task, and the operators' calls that wait for replies to them."""
 
 from abc import ABC, abstractmethod
 
@@ -25,12 +25,12 @@
 
 
 class Call(ABC):
-    """An operator's call that waits for replies.
+    """An operator's call that waits for one or more replies.
 
     Attributes
     ----------
     is_abandoned : bool
-        Whether nobody waits any more.
+        Whether the caller no longer waits for replies.
     """
 
     def __init__(self):
@@ -38,10 +38,10 @@
 
     @abstractmethod
     def reply(self, message: object) -> None:
-        """Give a reply, from any greenlet."""
+        """Send a reply; may be called from any greenlet."""
 
     def finish(self, message: object) -> None:
-        """Give the last reply, from any greenlet."""
+        """Send the last reply, followed by None; may be called from any greenlet."""
         self.reply(message)
         self.reply(None)
 
@@ -62,13 +62,13 @@
         Raises
         ------
         gevent.queue.Empty
-            None came within `timeout` seconds.
+            No reply arrived within `timeout` seconds.
         """
         return self._queue.get(timeout=timeout)
 
 
 class ListRead:
-    """The platform's list was read."""
+    """Reports the instances of a platform's list that was just read."""
 
     __slots__ = ("instances",)
 
@@ -77,7 +77,7 @@
 
 
 class SubmitRequested:
-    """An operator submits a checked version."""
+    """An operator submits a version that passed the checks."""
 
     __slots__ = ("call", "request", "tree")
 
@@ -96,27 +96,27 @@
 
 
 class StatusRequested(_Requested):
-    """An operator asks for the status."""
+    """An operator requests the status of the mesh."""
 
 
 class HistoryRequested(_Requested):
-    """An operator asks for the history."""
+    """An operator requests the history of versions."""
 
 
 class ShowRequested(_Requested):
-    """An operator asks for a version's content."""
+    """An operator requests the content of a version."""
 
 
 class QuarantineRequested(_Requested):
-    """An operator asks which requests are quarantined, or clears one."""
+    """An operator lists the quarantined requests, or clears one of them."""
 
 
 class CanaryRequested(_Requested):
-    """An operator orders something of a canary release, or asks for them; the reply is a `CanaryReply`."""
+    """An operator lists canary releases, or starts, promotes or aborts one; the reply is a `CanaryReply`."""
 
 
 class ReadRequested:
-    """An operator asks for the newest accepted version, confirmed by a quorum.
+    """An operator requests the newest accepted version, confirmed by a quorum.
 
     The reply is a `ConfirmedRead`.
     """
@@ -128,14 +128,14 @@
 
 
 class ConfirmedRead:
-    """The newest accepted version at a moment after it was asked for.
+    """The newest accepted version at some moment after it was requested.
 
     Parameters
     ----------
     tree : ConfigTree or None
-        None where no version was accepted yet.
+        None where no version was accepted yet, or none is confirmed.
     is_confirmed : bool
-        False where no quorum could confirm it.
+        False where no quorum confirmed the read in time.
     """
 
     __slots__ = ("is_confirmed", "tree")
--- a/packages/lanedock-daemon/lanedock_daemon/control/server.py
+++ b/packages/lanedock-daemon/lanedock_daemon/control/server.py
@@ -1,5 +1,5 @@
 # SPDX-License-Identifier: BSD-3-Clause
-"""The control instance's gRPC handlers; they only turn calls into messages."""
+"""gRPC handlers of the control instance, which turn calls into messages to the control task."""
 
 import asyncio
 
@@ -25,7 +25,7 @@
 
 
 class GrpcCall(Call):
-    """A call that a coroutine of gRPC waits for.
+    """A call whose replies a gRPC handler awaits.
 
     Parameters
     ----------
@@ -41,12 +41,12 @@
         self._loop.call(self._queue.put_nowait, message)
 
     async def next_reply(self) -> object:
-        """Wait for the next reply, inside the loop; None after the last."""
+        """Wait for the next reply; returns None after the last one. Runs on the event loop."""
         return await self._queue.get()
 
 
 class ReplicationServer(ReplicationBase):
-    """Takes messages from other replicas.
+    """Handles messages from other replicas.
 
     Parameters
     ----------
@@ -63,7 +63,7 @@
 
 
 class OperatorsServer(OperatorsBase):
-    """Takes operators' calls.
+    """Handles operators' calls.
 
     Parameters
     ----------
@@ -79,7 +79,7 @@
         request = await stream.recv_message()
         refusal = self._task.refuse_unless_leading(request)
         if refusal is not None:
-            # Before the check, which takes longer than all else here.
+            # Refuse before the check of the document, the slowest step of this handler.
             await stream.send_message(refusal)
             return
         try:
--- a/packages/lanedock-daemon/lanedock_daemon/control/service.py
+++ b/packages/lanedock-daemon/lanedock_daemon/control/service.py
@@ -1,5 +1,5 @@
 # SPDX-License-Identifier: BSD-3-Clause
-"""The control task: it owns the replica, and all that acts on what the log holds."""
+"""The control task, which owns the replica and the parts that act on its replicated state."""
 
 import random
 
@@ -14,7 +14,7 @@
 from lanedock.settings import Address, Settings
 from lanedock.telemetry import Event, EventLogger, Metric, Metrics
 from lanedock.wire import messages
-from lanedock_daemon.control.canaries import CanaryOrders
+from lanedock_daemon.control.canaries import CanaryRequestHandler
 from lanedock_daemon.control.directories import ControlDirectory, ListedDirectory, RegisteredDirectory
 from lanedock_daemon.control.distribution import DaemonSessions, make_version_source
 from lanedock_daemon.control.leader import FleetReporter, RolloutLeader
@@ -32,26 +32,26 @@
     StatusRequested,
     SubmitRequested,
 )
-from lanedock_daemon.control.submissions import Submission, SubmissionQueue, log_applied, make_submit_command
+from lanedock_daemon.control.submissions import Submission, SubmissionQueue, log_applied_entry, make_submit_command
 from lanedock_daemon.control.traffic import ControlTraffic, MeteredLinks
 from lanedock_daemon.sessions import ChildArrived, ChildLeft, ChildReported, SeedsChanged
 from lanedock_daemon.transport import PeerMessageArrived
 
 __all__ = ["ControlService"]
 
-# Seconds between two looks at the replica's timers, which are tenths of seconds.
+# Seconds between two checks of the replica's timers, which run for tenths of a second.
 TICK = 0.02
 
 
 class ControlService(TaskService):
-    """One control instance.
+    """Service of one control instance.
 
     Parameters
     ----------
     settings : Settings
-        With a control section.
+        Settings with a control section.
     initial : bool
-        Whether a new data folder may take part from the start.
+        Whether a replica with a new data folder starts as a voter.
     events : EventLogger
     metrics : Metrics
     """
@@ -71,13 +71,13 @@
         self._sessions = DaemonSessions(self._cfg, metrics, self._quarantine, self._traffic)
         self._submissions = SubmissionQueue(metrics)
         self._is_seeded = self._cfg.seeds is not None
-        # Found by seeds, a replica is named by its address.
+        # A replica that is found through seeds is named by its address.
         self._name = str(self._cfg.listen) if self._is_seeded else settings.name
         self._queries = QueryQueue(self.address_of, self._name)
         self._reads = ReadQueue()
         self._reporter = FleetReporter()
         self._known_leader = ""
-        self._source_versions = None
+        self._sent_versions = None
         self._plan_revision = 0
         self._storage: FileStorage | None = None
         self._handlers = {
@@ -128,8 +128,8 @@
         self._directory = self._make_directory()
         self._leader = RolloutLeader(self._log, self._policy, self._submissions)
         policy = CanaryPolicy(cfg.canary_share, cfg.canary_slack)
-        self._canaries = CanaryOrders(self._log, policy, self._leader_address, self._events, self._metrics)
-        self._log.pump()
+        self._canaries = CanaryRequestHandler(self._log, policy, self._leader_address, self._events, self._metrics)
+        self._log.process_ready()
         self._refresh_source()
         self._server = transport.serve_control(self, cfg.listen)
         self._links.start()
@@ -142,7 +142,7 @@
         return ListedDirectory(self._cfg, self._name, self, self._events, *shared)
 
     def _first_voters(self) -> list[str]:
-        """Return the names of the replicas that vote from the first start."""
+        """Return the names of the initial voters."""
         if self._is_seeded:
             return [str(address) for address in self._cfg.seeds]
         return list(self._cfg.replicas)
@@ -158,7 +158,7 @@
         return self._directory.zones.get(name, "")
 
     def _on_seeds(self, seeds: list[Address]) -> None:
-        """Take over other seeds: where a replica without a past asks to join."""
+        """Replace the seeds, which a new replica asks for admission."""
         names = [str(address) for address in seeds if str(address) != self._name]
         self._log.replica.contacts = tuple(names)
         self._events.emit(Event.SEEDS_CHANGED, seeds=",".join(names))
@@ -185,7 +185,7 @@
             return
         now = monotonic()
         self._log.replica.tick(now)
-        self._note_leader()
+        self._announce_leader()
         self._sessions.send_heartbeats(now, *self._freshness(now))
         self._directory.tick(now)
         self._quarantine.expire(now)
@@ -212,15 +212,15 @@
             request.fleet_request.SetInParent()
             self._links.send([request])
 
-    def _note_leader(self) -> None:
-        """Let daemons know at once of a new leader: until then they look for a source that has one."""
+    def _announce_leader(self) -> None:
+        """Notify daemons at once of a new leader; without one, they search for a source that has one."""
         leader = self._log.replica.leader
         if leader and leader != self._known_leader:
             self._sessions.expedite_heartbeats()
         self._known_leader = leader
 
     def _freshness(self, now: float) -> tuple[int, float]:
-        """Return the newest accepted version known here, and for how long no leader was heard, in seconds."""
+        """Return the number of the newest accepted version known here, and the seconds since a leader was heard."""
         return self._log.state.accepted_version.number, self._log.replica.silence(now)
 
     def _on_child_arrived(self, item: ChildArrived) -> None:
@@ -228,11 +228,11 @@
         is_admitted = self._sessions.greet(item.session, item.message, self._directory.whole_update, *freshness)
         if is_admitted:
             self._directory.greet(item.session)
-        self._directory.note_state(item.session, item.message, monotonic())
+        self._directory.apply_report(item.session, item.message, monotonic())
 
     def _on_child_reported(self, item: ChildReported) -> None:
         self._sessions.receive(item.session, item.message)
-        self._directory.note_state(item.session, item.message, monotonic())
+        self._directory.apply_report(item.session, item.message, monotonic())
 
     def _on_child_left(self, item: ChildLeft) -> None:
         self._sessions.leave(item.session)
@@ -244,7 +244,7 @@
         self._leader.take_list(item.instances, now)
 
     def refuse_unless_leading(self, request: messages.SubmitRequest) -> messages.SubmitReply | None:
-        """Return the reply that names the leader, or None where this one leads."""
+        """Return a refusal that names the leader, or None where this replica leads."""
         if self._log.is_current_leader:
             return None
         return messages.SubmitReply(
@@ -270,13 +270,13 @@
         if result.verdict is Verdict.KNOWN:
             self._submissions.wait_for_outcome(submission)
             return
-        # Whatever the verdict is, the log decides: a refusal, too, must be
-        # that of a leader that a quorum still follows.
+        # The log decides on every other verdict: a refusal, too, must come
+        # from a leader that a quorum still follows.
         base = self._log.state.tree(self._log.state.accepted_version.number)
         command = make_submit_command(item, self._cfg.rollout == "direct", base)
         index = self._log.propose(command)
         if index is None:
-            # The lease has ended just now.
+            # The lease ended after the check above.
             item.call.finish(submission.reply(messages.ANSWER_NOT_KNOWN, ErrorCode.OUTCOME_NOT_KNOWN))
             return
         self._submissions.wait_for_entry(submission, index)
@@ -284,26 +284,26 @@
     # ----------------------------------------------------------------- advance
 
     def _advance(self) -> None:
-        """Carry everything on as far as it goes now."""
+        """Process the log, then send everything that has become due."""
         try:
-            self._pump()
+            self._process_log()
         except StorageError as exc:
-            self._break(exc)
+            self._stop_after_storage_error(exc)
             return
         now = monotonic()
         self._directory.broadcast(now)
         self._sessions.flush()
         self._directory.advance(now)
         self._report(now)
-        self._lead(now)
+        self._act_as_leader(now)
         self._queries.advance(self._log, self._leader.fleet, now)
 
-    def _pump(self) -> None:
+    def _process_log(self) -> None:
         now = monotonic()
         for token in (self._sessions.next_read(now), self._reads.next_read(now)):
             if token is not None:
                 self._log.replica.request_read(token, now)
-        for entry in self._log.pump():
+        for entry in self._log.process_ready():
             self._on_applied(entry)
         self._refresh_source()
         self._answer_reads()
@@ -320,22 +320,22 @@
             self._reads.fail(token)
 
     def _on_applied(self, entry: AppliedEntry) -> None:
-        """Log what became of an entry, and answer who waits for it."""
-        log_applied(self._events, entry, self._log.state.accepted_version.number)
+        """Log the result of an applied entry, and answer the operator who waits for it."""
+        log_applied_entry(self._events, entry, self._log.state.accepted_version.number)
         is_submission = isinstance(entry.result, SubmitResult)
-        self._submissions.settle(entry.index, entry.result if is_submission else None)
-        self._canaries.settle(entry, monotonic())
+        self._submissions.handle_applied(entry.index, entry.result if is_submission else None)
+        self._canaries.handle_applied(entry, monotonic())
 
     def _refresh_source(self) -> None:
-        """Replace what daemons are sent when another version is accepted or staged."""
+        """Update the versions and the canary plan that daemons are sent, when these have changed."""
         state = self._log.state
         if state.canaries.revision > self._plan_revision:
             self._plan_revision = state.canaries.revision
             self._sessions.set_canary_plan(state.canaries.plan())
         versions = (state.accepted_version, state.candidate_version)
-        if versions == self._source_versions:
+        if versions == self._sent_versions:
             return
-        self._source_versions = versions
+        self._sent_versions = versions
         source = make_version_source(state)
         self._sessions.set_source(source)
         if source.accepted is not None:
@@ -345,13 +345,13 @@
         self._metrics.gauge(Metric.VERSION, state.accepted_version.number)
 
     def _report(self, now: float) -> None:
-        """Report to the leader which daemons are connected here, and in which state."""
+        """Send the leader a report of the daemons connected here, when one is due."""
         replica = self._log.replica
         report = self._reporter.take_due(self._sessions, replica, now)
         if report is None:
             return
         if replica.leader == replica.me:
-            self._leader.take_own_report(report, now)
+            self._leader.apply_own_report(report, now)
             return
         message = self._peer_message(replica.leader)
         message.fleet_report.CopyFrom(report)
@@ -363,8 +363,8 @@
 
     # -------------------------------------------------------------------- lead
 
-    def _lead(self, now: float) -> None:
-        """Decide on the candidate and answer operators, as leader."""
+    def _act_as_leader(self, now: float) -> None:
+        """Decide on the candidate and the canaries and answer operators, as leader."""
         is_leader = self._leader.refresh(now)
         fleet = self._leader.fleet if is_leader else None
         has_steps = self._canaries.advance(fleet, self._directory.endpoints, now)
@@ -372,9 +372,9 @@
             return
         if self._leader.decide(now) or has_steps:
             try:
-                self._pump()
+                self._process_log()
             except StorageError as exc:
-                self._break(exc)
+                self._stop_after_storage_error(exc)
                 return
             self._sessions.flush()
         self._leader.answer()
@@ -384,8 +384,8 @@
         address = self.address_of(leader) if leader else None
         return str(address) if address else ""
 
-    def _break(self, exc: StorageError) -> None:
-        """Take no part any more: what is on the disk is not known."""
+    def _stop_after_storage_error(self, exc: StorageError) -> None:
+        """Stop taking part, as the content of the disk is not known after a storage error."""
         self._log.is_broken = True
         event = Event.LOG_CORRUPT if exc.code is ErrorCode.LOG_CORRUPT else Event.DISK_FAILED
         self._events.emit(event, error=exc)
@@ -394,5 +394,5 @@
         self._queries.abandon_all()
         self._reads.abandon_all()
         self._sessions.close()
-        # Daemons and operators are better refused than left waiting.
+        # Refuse daemons and operators rather than let them wait.
         self._server.close()
--- a/packages/lanedock-daemon/lanedock_daemon/control/submissions.py
+++ b/packages/lanedock-daemon/lanedock_daemon/control/submissions.py
@@ -1,5 +1,5 @@
 # SPDX-License-Identifier: BSD-3-Clause
-"""Operators who wait for the outcome of their submission."""
+"""Submissions of versions that wait for their outcome, and the replies to their operators."""
 
 import time
 
@@ -12,25 +12,28 @@
 from lanedock_daemon.control.log import AppliedEntry
 from lanedock_daemon.control.requests import Call, SubmitRequested
 
-__all__ = ["Submission", "SubmissionQueue", "log_applied", "make_submit_command"]
+__all__ = ["Submission", "SubmissionQueue", "log_applied_entry", "make_submit_command"]
 
-# Seconds between two reports of progress to one operator: as often as a person sees.
+# Minimum interval between two progress reports to one operator, in seconds: a person does not
+# notice more frequent updates.
 PROGRESS_INTERVAL = 0.1
-# Seconds that an operator waits where the request names no time: several times the 3 s
-# within which a version has to be in force everywhere.
+# Timeout of a submission whose request names none, in seconds: several times the 3 s within
+# which a version has to be in force everywhere.
 DEFAULT_TIMEOUT = 10.0
-_TAKEN = (Verdict.STAGING, Verdict.KNOWN)
+# Verdicts after which the state holds a record of the version, whose outcome is awaited.
+_RECORDED_VERDICTS = (Verdict.STAGING, Verdict.KNOWN)
 
 
 def make_submit_command(item: SubmitRequested, is_direct: bool, base: ConfigTree | None) -> messages.Command:
-    """Make the command that has a submitted version judged, and staged or accepted at once.
+    """Return the log command that submits a version.
 
     Parameters
     ----------
     item : SubmitRequested
     is_direct : bool
+        Whether the version is accepted at once, without staging.
     base : ConfigTree or None
-        The accepted version: what it lacks is sent.
+        The accepted version; the command holds only the difference from it.
     """
     version, request = item.tree.version, item.request
     command = messages.Command()
@@ -48,7 +51,7 @@
 
 
 class Submission:
-    """One operator's wait for one version.
+    """A submitted version whose operator waits for the outcome.
 
     Parameters
     ----------
@@ -57,8 +60,8 @@
     version : Version
     now : float
         Monotonic, seconds.
-    settle : float, optional
-        Longest wait after acceptance, in seconds; to the deadline where left out.
+    settle_time : float, optional
+        Maximum wait after acceptance, in seconds; None waits until the deadline.
     """
 
     __slots__ = (
@@ -69,12 +72,12 @@
         "deadline",
         "index",
         "reported_at",
-        "settle",
+        "settle_time",
         "started_at",
         "version",
     )
 
-    def __init__(self, call: Call, request: messages.SubmitRequest, version: Version, now: float, settle=None):
+    def __init__(self, call: Call, request: messages.SubmitRequest, version: Version, now: float, settle_time=None):
         self.call = call
         self.version = version
         self.base = request.base_version if request.has_base else None
@@ -82,12 +85,12 @@
         self.deadline = now + (request.timeout_ms / 1000 if request.timeout_ms else DEFAULT_TIMEOUT)
         self.allowed_zones = set(request.allow_cut_off)
         self.index = 0
-        self.settle = settle
+        self.settle_time = settle_time
         self.reported_at = 0.0
         self.accepted_at = None
 
     def reply(self, answer: int, code: ErrorCode | None = None, message: str = "") -> messages.SubmitReply:
-        """Make a reply for this submission."""
+        """Return a reply that names the submitted version."""
         return messages.SubmitReply(
             answer=answer,
             code=code.code if code else "",
@@ -98,10 +101,10 @@
 
 
 class SubmissionQueue:
-    """All operators who wait.
+    """Submissions that wait for their final reply.
 
-    A submission waits first for its entry to be applied, then for the
-    version's outcome, then for it to be in force everywhere.
+    A submission waits first for its log entry to be applied, then for the
+    version's outcome, then for the version to be in force everywhere.
 
     Parameters
     ----------
@@ -117,47 +120,55 @@
         return f"<SubmissionQueue proposed={len(self._proposed)} waiting={len(self._waiting)}>"
 
     def wait_for_entry(self, submission: Submission, index: int) -> None:
-        """Wait for a proposed entry."""
+        """Wait until the entry proposed at an index is applied."""
         submission.index = index
         self._proposed[index] = submission
 
     def wait_for_outcome(self, submission: Submission) -> None:
-        """Wait for the outcome of a version that is known already."""
+        """Wait for the outcome of a version that was submitted before."""
         self._waiting.append(submission)
 
-    def settle(self, index: int, result: SubmitResult | None) -> None:
-        """Note that the entry at an index was applied."""
+    def handle_applied(self, index: int, result: SubmitResult | None) -> None:
+        """Continue or finish the submission whose entry was proposed at an index.
+
+        Parameters
+        ----------
+        index : int
+            Index of the applied entry.
+        result : SubmitResult or None
+            None where the applied entry is not a submission.
+        """
         submission = self._proposed.pop(index, None)
         if submission is None:
             return
-        # Another leader's entry may have taken the index: then nothing is known of this order.
+        # Another leader's entry may have taken the index; the outcome of this submission is then not known.
         if result is None or not _is_verdict_on(submission, result):
             submission.call.finish(submission.reply(messages.ANSWER_NOT_KNOWN, ErrorCode.OUTCOME_NOT_KNOWN))
-        elif result.verdict in _TAKEN:
+        elif result.verdict in _RECORDED_VERDICTS:
             self._waiting.append(submission)
         else:
             submission.call.finish(submission.reply(messages.ANSWER_NOT_RUN, result.code))
 
     def abandon_all(self) -> None:
-        """Answer everybody that the outcome is not known here any more."""
+        """Tell all waiting operators that the outcome is not known."""
         for submission in [*self._proposed.values(), *self._waiting]:
             submission.call.finish(submission.reply(messages.ANSWER_NOT_KNOWN, ErrorCode.OUTCOME_NOT_KNOWN))
         self._proposed = {}
         self._waiting = []
 
     def is_empty(self) -> bool:
-        """Tell whether nobody waits."""
+        """Return whether no submission waits."""
         return not self._proposed and not self._waiting
 
-    def advance(self, records: dict, look_up) -> None:
-        """Report to those who wait how far their version has come.
+    def advance(self, records: dict, find_progress) -> None:
+        """Send final replies, progress reports and timeouts to the waiting operators.
 
         Parameters
         ----------
         records : dict of int to VersionRecord
-        look_up : callable
-            Takes a version's number and the allowed zones, returns a
-            RolloutProgress and the names of instances missing in those zones.
+        find_progress : callable
+            Takes a version's number and the zones that may be cut off; returns
+            a RolloutProgress and the names of instances missing in those zones.
         """
         now = monotonic()
         for index, submission in list(self._proposed.items()):
@@ -168,64 +179,73 @@
         for submission in self._waiting:
             if submission.call.is_abandoned:
                 continue
-            reply = self._judge(submission, records, look_up, now)
+            reply = self._evaluate(submission, records, find_progress, now)
             if reply is None:
                 waiting.append(submission)
             else:
                 submission.call.finish(reply)
         self._waiting = waiting
 
-    def _judge(self, submission: Submission, records: dict, look_up, now: float) -> messages.SubmitReply | None:
-        """Return the final reply, or None where it has to wait on."""
+    def _evaluate(
+        self, submission: Submission, records: dict, find_progress, now: float
+    ) -> messages.SubmitReply | None:
+        """Return the final reply, or None while the submission has to wait."""
         record = records.get(submission.version.number)
         if record is None:
             return submission.reply(messages.ANSWER_NOT_KNOWN, ErrorCode.OUTCOME_NOT_KNOWN)
         if record.outcome == messages.OUTCOME_ABORTED:
             return _make_abort_reply(submission, record)
         allowed = submission.allowed_zones | set(record.allow_cut_off)
-        progress, cut_off = look_up(submission.version.number, allowed)
+        progress, cut_off = find_progress(submission.version.number, allowed)
         is_accepted = record.outcome == messages.OUTCOME_ACCEPTED
         if is_accepted and submission.accepted_at is None:
             submission.accepted_at = now
         if is_accepted and not progress.lagging:
-            return self._make_final(submission, progress, cut_off, now)
-        is_settled = is_accepted and submission.settle is not None and now - submission.accepted_at >= submission.settle
+            return self._make_in_force_reply(submission, progress, cut_off, now)
+        is_settled = (
+            is_accepted
+            and submission.settle_time is not None
+            and now - submission.accepted_at >= submission.settle_time
+        )
         if is_settled or now >= submission.deadline:
-            return self._make_late(submission, progress, is_accepted, now)
+            return self._make_timeout_reply(submission, progress, is_accepted, now)
         self._report_progress(submission, progress, is_accepted, now)
         return None
 
-    def _make_final(self, submission, progress, cut_off: list[str], now: float) -> messages.SubmitReply:
+    def _make_in_force_reply(self, submission, progress, cut_off: list[str], now: float) -> messages.SubmitReply:
         if cut_off:
-            message = "accepted for good; not in force yet in the zones that were allowed to be cut off"
+            message = "accepted, but not yet in force on missing instances in zones allowed to be cut off"
             reply = submission.reply(messages.ANSWER_ACCEPTED, ErrorCode.IN_FORCE_LATE, message)
             reply.lagging.extend(cut_off)
         else:
             reply = submission.reply(messages.ANSWER_APPLIED, message="in force everywhere")
             self._metrics.time(Metric.CONVERGENCE, now - submission.accepted_at)
-        return _fill(reply, submission, progress, now)
+        return _fill_progress(reply, submission, progress, now)
 
-    def _make_late(self, submission, progress, is_accepted: bool, now: float) -> messages.SubmitReply:
+    def _make_timeout_reply(self, submission, progress, is_accepted: bool, now: float) -> messages.SubmitReply:
         if is_accepted:
             reply = submission.reply(messages.ANSWER_ACCEPTED, ErrorCode.IN_FORCE_LATE)
             reply.lagging.extend(progress.lagging)
         else:
             reply = submission.reply(messages.ANSWER_NOT_KNOWN, ErrorCode.OUTCOME_NOT_KNOWN)
-        return _fill(reply, submission, progress, now)
+        return _fill_progress(reply, submission, progress, now)
 
     def _report_progress(self, submission, progress, is_accepted: bool, now: float) -> None:
         if now - submission.reported_at < PROGRESS_INTERVAL:
             return
         submission.reported_at = now
         reply = submission.reply(messages.ANSWER_IN_PROGRESS, message="in force" if is_accepted else "staging")
-        submission.call.reply(_fill(reply, submission, progress, now))
+        submission.call.reply(_fill_progress(reply, submission, progress, now))
 
 
 def _is_verdict_on(submission: Submission, result: SubmitResult) -> bool:
-    """Tell whether a verdict is on this order; once a version is taken, whatever it was made from."""
+    """Return whether a verdict belongs to a submission.
+
+    The base versions have to match only where the version was refused.
+    """
     if result.version != submission.version:
         return False
-    return result.verdict in _TAKEN or result.base == submission.base
+    return result.verdict in _RECORDED_VERDICTS or result.base == submission.base
 
 
 def _make_abort_reply(submission: Submission, record) -> messages.SubmitReply:
@@ -235,7 +255,7 @@
     return reply
 
 
-def _fill(reply: messages.SubmitReply, submission: Submission, progress: RolloutProgress, now: float):
+def _fill_progress(reply: messages.SubmitReply, submission: Submission, progress: RolloutProgress, now: float):
     reply.required = progress.required
     reply.staged = progress.staged
     reply.in_force = progress.in_force
@@ -245,8 +265,8 @@
     return reply
 
 
-def log_applied(events: EventLogger, entry: AppliedEntry, accepted: int) -> None:
-    """Log what became of an entry on a version.
+def log_applied_entry(events: EventLogger, entry: AppliedEntry, accepted: int) -> None:
+    """Log the result of an applied entry that submits, accepts or aborts a version.
 
     Parameters
     ----------
--- a/packages/lanedock-daemon/lanedock_daemon/control/tests/test_distribution.py
+++ b/packages/lanedock-daemon/lanedock_daemon/control/tests/test_distribution.py
@@ -8,12 +8,12 @@
 from lanedock.settings import ControlSettings
 from lanedock.telemetry import NullMetrics
 from lanedock.wire import messages
-from lanedock_daemon.control.distribution import READ_PATIENCE, DaemonSessions
+from lanedock_daemon.control.distribution import READ_TIMEOUT, DaemonSessions
 from lanedock_daemon.sessions import HEARTBEAT_INTERVAL, SILENCE_LIMIT
 
 
 class FakeSession:
-    """A session that keeps what is sent."""
+    """A session that records the messages sent."""
 
     def __init__(self):
         self.child = None
@@ -45,20 +45,20 @@
     return session
 
 
-def test_a_read_that_was_lost_is_asked_again():
+def test_lost_read_is_repeated_and_its_late_answer_ignored():
     sessions = _make_sessions()
     session = _arrive(sessions, "d", floor_token=9)
     lost = sessions.next_read(0.0)
-    assert sessions.next_read(READ_PATIENCE / 2) is None
-    again = sessions.next_read(READ_PATIENCE * 1.1)
-    assert again not in (None, lost)
+    assert sessions.next_read(READ_TIMEOUT / 2) is None
+    repeated = sessions.next_read(READ_TIMEOUT * 1.1)
+    assert repeated not in (None, lost)
     sessions.confirm_read(lost, 3)
     assert "floor" not in session.kinds()
-    sessions.confirm_read(again, 4)
+    sessions.confirm_read(repeated, 4)
     assert (session.sent[-1].floor.token, session.sent[-1].floor.version) == (9, 4)
 
 
-def test_one_read_confirms_all_who_asked_before_it():
+def test_read_confirms_only_floors_requested_before_it():
     sessions = _make_sessions()
     early = [_arrive(sessions, name, floor_token=1) for name in "ab"]
     token = sessions.next_read(0.0)
@@ -68,7 +68,7 @@
     assert sessions.next_read(0.1) is not None
 
 
-def test_who_has_left_is_not_asked_for_again():
+def test_failed_read_is_not_repeated_for_ended_session():
     sessions = _make_sessions()
     session = _arrive(sessions, "d", floor_token=1)
     token = sessions.next_read(0.0)
@@ -77,7 +77,7 @@
     assert sessions.next_read(0.1) is None
 
 
-def test_a_full_zone_refers_to_its_first_daemons_and_not_to_failed_ones():
+def test_full_zone_redirects_to_relays_that_have_not_failed():
     sessions = _make_sessions()
     direct = [f"d{number}" for number in range(4)]
     for name in direct:
@@ -91,24 +91,24 @@
     first = next(iter(referred))
     other = _arrive(sessions, first, failed=[referred[first]])
     assert other.sent[-1].redirect.relay != referred[first]
-    # Another zone is not full.
+    # The other zone is below the relay threshold.
     assert not _arrive(sessions, "x", zone="y").is_closed
 
 
 @pytest.mark.parametrize("relays", [0, 1, 3])
-def test_as_many_relays_are_used_as_told(relays):
+def test_number_of_relays_follows_the_setting(relays):
     sessions = _make_sessions(relays_per_zone=relays)
     named = set()
     for number in range(40):
         session = _arrive(sessions, f"d{number}")
         if session.is_closed:
             named.add(session.sent[-1].redirect.relay)
-    # Later daemons may rank before earlier ones, which then stay relays.
+    # A later daemon may rank before earlier ones, which stay relays.
     assert len(named) >= relays
     assert bool(named) == bool(relays)
 
 
-def test_a_storm_is_told_when_to_come_back():
+def test_daemons_above_admission_burst_get_increasing_retry_delays():
     sessions = _make_sessions(admissions_per_second=1.0)
     sessions = [_arrive(sessions, f"d{number}", zone=f"z{number}") for number in range(70)]
     refused = [session.sent[-1].refusal.retry_after_ms for session in sessions if session.is_closed]
@@ -116,8 +116,8 @@
     assert refused == sorted(refused)
 
 
-def test_a_silent_daemon_is_reported_gone():
-    """Its stream may go on swallowing what is sent: the leader must not wait for it."""
+def test_silent_daemon_is_closed_and_reported_gone():
+    """Guards against a leader that waits for a daemon whose stream accepts messages but answers none."""
     sessions = _make_sessions()
     silent, other = _arrive(sessions, "silent"), _arrive(sessions, "other")
     sessions.take_report(whole=True)
@@ -131,13 +131,13 @@
     assert list(sessions.take_report(whole=False).gone) == ["silent"]
 
 
-def test_a_daemon_that_has_come_back_outlives_its_silent_stream():
+def test_reconnected_daemon_is_not_reported_gone_when_old_stream_is_silent():
     sessions = _make_sessions()
     silent = _arrive(sessions, "d")
-    again = _arrive(sessions, "d")
+    reconnected = _arrive(sessions, "d")
     arrived = monotonic()
-    again.heard_at = arrived + SILENCE_LIMIT
+    reconnected.heard_at = arrived + SILENCE_LIMIT
     sessions.send_heartbeats(arrived + SILENCE_LIMIT + HEARTBEAT_INTERVAL, 1, 0.0)
-    assert silent.is_closed and not again.is_closed
+    assert silent.is_closed and not reconnected.is_closed
     report = sessions.take_report(whole=False)
     assert [state.daemon for state in report.changed] == ["d"] and not report.gone
--- a/packages/lanedock-daemon/lanedock_daemon/control/tests/test_submissions.py
+++ b/packages/lanedock-daemon/lanedock_daemon/control/tests/test_submissions.py
@@ -1,14 +1,11 @@
 # SPDX-License-Identifier: BSD-3-Clause
-"""Tests that an operator is answered by the verdict on the own order only.
+"""Tests that an operator receives only the verdict on the operator's own submission.
 
-An operator was answered 412, not run, for an order on which nobody had decided.
-
-Order of events: a leader was paused with the order proposed at an index. Its successor
-had an entry of its own at that index: another operator's order, which was refused. As
-the former leader went on, it applied that entry before it gave up its operators' calls.
-
-Cause: a verdict was compared with the order that waits by the version's record, and
-there is none of a version that was refused.
+Guards against a reply of 412, not run, for a submission that nobody has decided on. A leader
+is paused while its submission is proposed at an index. The next leader has another operator's
+submission at that index, which is refused. When the former leader resumes, it applies that
+entry before it abandons its own calls. Matching the verdict with the waiting submission by
+the version's record fails, as a refused version has no record.
 """
 
 import pytest
@@ -23,8 +20,8 @@
 INDEX = 10
 
 
-def _apply(version: int, digest: bytes, base: int) -> SubmitResult:
-    """Apply an order where version 1 is the accepted one."""
+def _submit(version: int, digest: bytes, base: int) -> SubmitResult:
+    """Apply a submission while version 1 is accepted."""
     state = MeshState()
     first = messages.SubmitCommand(version=1, digest=b"first", direct=True)
     state.apply(messages.Command(submit=first))
@@ -32,13 +29,13 @@
     return state.apply(messages.Command(submit=command))
 
 
-def _settle(result: SubmitResult) -> int | None:
-    """Settle the order of version 7 on version 1; returns the answer, or None where it waits on."""
+def _answer_to(result: SubmitResult) -> int | None:
+    """Apply a result at the index of a submission of version 7 on version 1; returns its answer, if any."""
     call = GreenletCall()
     request = messages.SubmitRequest(version=7, has_base=True, base_version=1)
     queue = SubmissionQueue(NullMetrics())
     queue.wait_for_entry(Submission(call, request, Version(7, b"own"), 0.0), INDEX)
-    queue.settle(INDEX, result)
+    queue.handle_applied(INDEX, result)
     return call.next_reply(1).answer if queue.is_empty() else None
 
 
@@ -46,8 +43,8 @@
     ("version", "digest", "base"),
     [(9, b"other", 0), (1, b"other", 0), (7, b"other", 0), (7, b"own", 0)],
 )
-def test_a_refusal_of_another_order_does_not_answer_the_own(version, digest, base):
-    assert _settle(_apply(version, digest, base)) == messages.ANSWER_NOT_KNOWN
+def test_refusal_of_another_submission_leaves_own_outcome_not_known(version, digest, base):
+    assert _answer_to(_submit(version, digest, base)) == messages.ANSWER_NOT_KNOWN
 
 
 @pytest.mark.parametrize(
@@ -58,5 +55,5 @@
         (9, b"other", 1, messages.ANSWER_NOT_KNOWN),
     ],
 )
-def test_only_the_own_version_is_waited_for(version, digest, base, answer):
-    assert _settle(_apply(version, digest, base)) == answer
+def test_submission_waits_only_for_its_own_version(version, digest, base, answer):
+    assert _answer_to(_submit(version, digest, base)) == answer
--- a/packages/lanedock-daemon/lanedock_daemon/control/tests/test_suspicions.py
+++ b/packages/lanedock-daemon/lanedock_daemon/control/tests/test_suspicions.py
@@ -1,5 +1,5 @@
 # SPDX-License-Identifier: BSD-3-Clause
-"""How suspicions of requests spread between control instances, over links that are cut."""
+"""Tests that suspicions of requests spread between control instances, also after links were cut."""
 
 from types import SimpleNamespace
 
@@ -13,8 +13,8 @@
 REQUEST = RequestHasher("GET", "shop.example", "/x", "", 0).fingerprint()
 NAMES = ("a#1", "b#1", "c#1")
 TICK = 0.02
-# Seconds from a link's return, or from the crash, within which all have to know: daemons
-# are to refuse from 3 s after the third crash on, and take the rest.
+# Seconds from a crash, or from the repair of a link, within which all control instances have to
+# know of it: daemons have to refuse within 3 s of the third crash, and need the rest of that time.
 SPREAD_LIMIT = 1.0
 
 
@@ -37,13 +37,13 @@
             self.now += TICK
             for name, exchange in self._exchanges.items():
                 exchange.expire(self.now)
-                self._deliver(exchange.due([other for other in NAMES if other != name], name, self.now))
+                self._deliver_all(exchange.take_due([other for other in NAMES if other != name], name, self.now))
 
-    def _deliver(self, out: list) -> None:
-        for message in out:
+    def _deliver_all(self, batch: list) -> None:
+        for message in batch:
             self.sent += len(message.endpoint_report.suspicions)
             if frozenset((message.sender, message.receiver)) not in self.cut:
-                self._deliver(self._exchanges[message.receiver].take(message, self.now))
+                self._deliver_all(self._exchanges[message.receiver].receive(message, self.now))
 
     def counts(self) -> list[int]:
         return [quarantine.count(REQUEST) for quarantine in self.quarantines.values()]
@@ -57,19 +57,19 @@
 
 
 @pytest.mark.parametrize("name", NAMES)
-def test_a_crash_that_was_reported_to_one_is_known_to_all(mesh, name):
+def test_crash_reported_to_one_instance_becomes_known_to_all(mesh, name):
     mesh.quarantines[name].note_crash("u0", [REQUEST], mesh.now)
     mesh.run(SPREAD_LIMIT)
     assert mesh.counts() == [1, 1, 1]
-    # Each of three sends it to both others, once.
+    # Each of the three sends it once to both others.
     assert mesh.sent == 6
 
 
-def test_two_that_cannot_reach_each_other_learn_from_the_third(mesh):
-    """Found by reading: nobody passed on what another control instance had reported.
+def test_instances_behind_a_cut_link_learn_suspicions_from_the_third(mesh):
+    """Guards against suspicions that are not forwarded from one control instance to another.
 
-    A link between two of three zones is cut; the daemons of one of them went on passing on a
-    request that had crashed upstreams of the other.
+    The link between two of three zones is cut; without forwarding, daemons in one of these zones
+    keep sending upstream a request that has crashed upstreams in the other.
     """
     mesh.cut = {frozenset(("b#1", "c#1"))}
     mesh.run(5.0)
@@ -79,8 +79,8 @@
 
 
 @pytest.mark.parametrize("seconds", [0.5, 2.0, 20.0])
-def test_zones_that_were_cut_apart_add_up_what_each_has_counted(mesh, seconds):
-    """One has counted two crashes and the others one: three in all."""
+def test_instances_merge_their_crash_counts_after_a_partition(mesh, seconds):
+    """One instance has counted two crashes and another one: three in total."""
     mesh.cut = {frozenset(("a#1", "b#1")), frozenset(("a#1", "c#1"))}
     mesh.run(seconds)
     mesh.quarantines["a#1"].note_crash("u0", [REQUEST], mesh.now)
@@ -91,12 +91,12 @@
     mesh.cut = set()
     mesh.run(SPREAD_LIMIT)
     assert mesh.counts() == [3, 3, 3]
-    # What is known to all is sent no more.
-    assert not any(exchange._suspicions for exchange in mesh._exchanges.values())
+    # Suspicions that are known everywhere are not sent again.
+    assert not any(exchange._suspicion_outbox for exchange in mesh._exchanges.values())
 
 
 class _ListedMesh:
-    """Two control instances that are named in the settings; between them messages may be lost."""
+    """Two control instances that are listed in the settings; their messages may be lost."""
 
     def __init__(self):
         self.now = 100.0
@@ -111,10 +111,10 @@
         cfg = SimpleNamespace(replicas=dict.fromkeys(self.quarantines))
         return ListedDirectory(cfg, name, None, None, sessions, self, log, self.quarantines[name])
 
-    def send(self, out: list) -> None:
+    def send(self, batch: list) -> None:
         """Stand in for the links."""
-        self.sent += len(out)
-        for message in out:
+        self.sent += len(batch)
+        for message in batch:
             if not self.is_cut:
                 self._directories[message.receiver].receive(message, self.now)
 
@@ -127,8 +127,8 @@
                 directory.advance(self.now)
 
 
-def test_listed_control_instances_repeat_what_is_not_passed_on():
-    """Found by reading: news that was lost on the link between them was never sent again."""
+def test_listed_instances_repeat_suspicions_lost_on_the_link():
+    """Guards against suspicions that are lost on the link and never repeated."""
     mesh = _ListedMesh()
     mesh.is_cut = True
     first, second = mesh.quarantines.values()
@@ -141,13 +141,13 @@
     first.clear(REQUEST)
     mesh.run(0.1)
     assert second.count(REQUEST) == 0
-    # Nothing is held back any more, and nothing is sent.
+    # No request is quarantined any more, so nothing is repeated.
     mesh.sent = 0
     mesh.run(5.0)
     assert mesh.sent == 0
 
 
-def test_a_request_that_was_cleared_behind_a_cut_link_is_passed_on_again():
+def test_clearing_during_a_partition_spreads_after_it():
     mesh = _ListedMesh()
     first, second = mesh.quarantines.values()
     for crash in ("u0", "u1", "u2"):
--- a/packages/lanedock-daemon/lanedock_daemon/control/tests/test_traffic.py
+++ b/packages/lanedock-daemon/lanedock_daemon/control/tests/test_traffic.py
@@ -1,5 +1,5 @@
 # SPDX-License-Identifier: BSD-3-Clause
-"""Tests of the bytes that a control instance counts."""
+"""Tests that a control instance counts the bytes it sends."""
 
 from lanedock.rollout import Child
 from lanedock.telemetry import Event, TextMetrics
@@ -43,7 +43,7 @@
         """Nothing to do."""
 
 
-def test_bytes_are_counted_by_what_they_carry_and_how_far_they_go():
+def test_bytes_are_counted_by_purpose_and_zone():
     events, metrics = _Events(), TextMetrics()
     traffic = ControlTraffic("here", {"near": "here", "far": "there"}.get, events, metrics)
     traffic.emit(0.0)
@@ -57,9 +57,9 @@
     assert links.sent == [entries, reply, entries]
     push = messages.ControlMessage()
     push.in_force.version = 1
-    traffic.note_daemon(_Session("here"), push, push.ByteSize())
-    traffic.note_daemon(_Session("there"), push, push.ByteSize())
-    due = {
+    traffic.count_daemon_message(_Session("here"), push, push.ByteSize())
+    traffic.count_daemon_message(_Session("there"), push, push.ByteSize())
+    expected = {
         "append_request_far": 2 * entries.ByteSize(),
         "append_reply_near": reply.ByteSize(),
         "daemon_in_force_near": push.ByteSize(),
@@ -67,5 +67,5 @@
     }
     traffic.emit(1.0)
     traffic.emit(1.0 + TOTALS_INTERVAL / 2)
-    assert events.totals == [due]
+    assert events.totals == [expected]
     assert 'purpose="append_request",reach="far"' in metrics.render()
--- a/packages/lanedock-daemon/lanedock_daemon/control/traffic.py
+++ b/packages/lanedock-daemon/lanedock_daemon/control/traffic.py
@@ -1,5 +1,5 @@
 # SPDX-License-Identifier: BSD-3-Clause
-"""What a control instance sends, in bytes, by what it carries and whether it leaves the zone."""
+"""Counts of the bytes that a control instance sends, by purpose and by whether they leave the zone."""
 
 from lanedock.consensus.core import replica_name
 from lanedock.telemetry import Event, EventLogger, Metric, Metrics
@@ -8,19 +8,19 @@
 
 __all__ = ["ControlTraffic", "MeteredLinks"]
 
-# Between two lines of totals, in seconds: what an operator looks at beside a change.
+# Minimum interval between two log lines with totals, in seconds: an operator compares them around a change.
 TOTALS_INTERVAL = 5.0
 
 
 class ControlTraffic:
-    """Counts the bytes of messages, without framing.
+    """Counts the bytes sent in messages, without framing.
 
     Parameters
     ----------
     zone : str
-        Of this control instance.
+        Zone of this control instance.
     zone_of : callable
-        Takes the name of another control instance, returns its zone, empty where it isn't known.
+        Takes the name of another control instance; returns its zone, empty where it is not known.
     events : EventLogger
     metrics : Metrics
     """
@@ -31,36 +31,36 @@
         self._events = events
         self._metrics = metrics
         self._totals: dict[str, int] = {}
-        self._emit_at = 0.0
+        self._next_emit_at = 0.0
 
     def __repr__(self) -> str:
         return f"<ControlTraffic {sum(self._totals.values())} bytes>"
 
-    def note_peer(self, message: messages.PeerMessage) -> None:
+    def count_peer_message(self, message: messages.PeerMessage) -> None:
         """Count a message to another control instance."""
         is_far = self._zone_of(replica_name(message.receiver)) != self._zone
-        self._note(message.WhichOneof("body"), is_far, message.ByteSize())
+        self._count(message.WhichOneof("body"), is_far, message.ByteSize())
 
-    def note_daemon(self, session: Session, message: messages.ControlMessage, size: int) -> None:
+    def count_daemon_message(self, session: Session, message: messages.ControlMessage, size: int) -> None:
         """Count a message of `size` bytes to a daemon."""
         is_far = session.child is not None and session.child.state.zone != self._zone
-        self._note(f"daemon_{message.WhichOneof('body')}", is_far, size)
+        self._count(f"daemon_{message.WhichOneof('body')}", is_far, size)
 
-    def _note(self, purpose: str, is_far: bool, size: int) -> None:
+    def _count(self, purpose: str, is_far: bool, size: int) -> None:
         reach = "far" if is_far else "near"
         self._metrics.count(Metric.TRAFFIC, size, (purpose, reach))
         key = f"{purpose}_{reach}"
         self._totals[key] = self._totals.get(key, 0) + size
 
     def emit(self, now: float) -> None:
-        """Write the totals since the start, once in a while."""
-        if now >= self._emit_at and self._totals:
-            self._emit_at = now + TOTALS_INTERVAL
+        """Log the totals since the start, at most once per `TOTALS_INTERVAL`."""
+        if now >= self._next_emit_at and self._totals:
+            self._next_emit_at = now + TOTALS_INTERVAL
             self._events.emit(Event.CONTROL_TRAFFIC, **self._totals)
 
 
 class MeteredLinks(PeerLinks):
-    """Links to other control instances, with what is sent over them counted.
+    """Links to other control instances that count the bytes sent.
 
     Parameters
     ----------
@@ -77,7 +77,7 @@
 
     def send(self, batch: list[messages.PeerMessage]) -> None:
         for message in batch:
-            self._traffic.note_peer(message)
+            self._traffic.count_peer_message(message)
         self._links.send(batch)
 
     def note_heard(self, sender: str, now: float) -> None:
