--- a/packages/lanedock-daemon/lanedock_daemon/control/canaries.py
+++ b/packages/lanedock-daemon/lanedock_daemon/control/canaries.py
@@ -63,7 +63,7 @@
 
     # ------------------------------------------------------------------ orders
 
-    def ask(self, item: CanaryRequested, endpoints: list[messages.Endpoint], now: float) -> None:
+    def handle(self, item: CanaryRequested, endpoints: list[messages.Endpoint], now: float) -> None:
         """Answer a query, or propose the command that an operator requests.
 
         Parameters
@@ -122,11 +122,11 @@
         if record is None or record.phase != messages.CANARY_RUNNING:
             item.call.finish(_refuse(ErrorCode.CANARY_UNKNOWN))
             return
-        operator = request.operator or "an operator"
+        operator_name = request.operator or "an operator"
         if request.action == messages.CANARY_PROMOTE:
-            step = make_step(record, messages.CANARY_RUNNING, FULL_SHARE, f"promoted by {operator}")
+            step = make_step(record, messages.CANARY_RUNNING, FULL_SHARE, f"promoted by {operator_name}")
         else:
-            step = make_step(record, messages.CANARY_ROLLED_BACK, 0, f"aborted by {operator}")
+            step = make_step(record, messages.CANARY_ROLLED_BACK, 0, f"aborted by {operator_name}")
         step.decided_at = time.time()
         self._propose_command(item, messages.Command(canary_step=step), now)
 
--- a/packages/lanedock-daemon/lanedock_daemon/control/directories.py
+++ b/packages/lanedock-daemon/lanedock_daemon/control/directories.py
@@ -93,7 +93,7 @@
     def take_list(self, instances: list[Instance], now: float) -> None:
         """Apply the platform's list of instances."""
 
-    def greet(self, session: Session) -> None:
+    def complete_admission(self, session: Session) -> None:
         """Send further information to a daemon that was just admitted."""
 
     @abstractmethod
@@ -146,7 +146,7 @@
         self._directory = Directory(DEFAULT_ENDPOINT_WINDOW)
         super().__init__(self._directory, sessions, links, log, quarantine)
         self._suspicion_outbox = quarantine.add_outbox()
-        self._repeat_at = 0.0
+        self._next_repeat_at = 0.0
         self._cfg = cfg
         self._others = [replica for replica in cfg.replicas if replica != name]
         self._task = task
@@ -197,8 +197,8 @@
 
     def advance(self, now: float) -> None:
         suspicions = self._quarantine.take_news(self._suspicion_outbox, now)
-        if now >= self._repeat_at:
-            self._repeat_at = now + SUSPICION_REPEAT_INTERVAL
+        if now >= self._next_repeat_at:
+            self._next_repeat_at = now + SUSPICION_REPEAT_INTERVAL
             suspicions += self._quarantine.held_news(now)
         if suspicions:
             self._send_to_all(_make_report(suspicions))
@@ -218,7 +218,7 @@
         known = self._sessions.distributor.known_daemons()
         unconnected = [endpoint for endpoint in self._directory.endpoints() if endpoint.instance not in known]
         if unconnected:
-            self._sessions.ask_attestations(unconnected, now)
+            self._sessions.request_attestations(unconnected, now)
 
 
 class RegisteredDirectory(ControlDirectory):
@@ -246,7 +246,7 @@
     def zones(self) -> dict[str, str]:
         return self._exchange.zones
 
-    def greet(self, session: Session) -> None:
+    def complete_admission(self, session: Session) -> None:
         self._sessions.send_members([session], self._sent_members)
 
     def apply_report(self, session: Session, message: messages.DaemonMessage, now: float) -> None:
--- a/packages/lanedock-daemon/lanedock_daemon/control/distribution.py
+++ b/packages/lanedock-daemon/lanedock_daemon/control/distribution.py
@@ -67,7 +67,7 @@
         self._floor_reads: dict[int, _FloorRead] = {}
         self._read_token = 0
         self._attestations: list[messages.Attestation] = []
-        self._attest_at = 0.0
+        self._next_attest_at = 0.0
 
     # ---------------------------------------------------------------- sessions
 
@@ -171,11 +171,11 @@
 
     # ------------------------------------------------------------ attestations
 
-    def ask_attestations(self, unconnected: list[messages.Endpoint], now: float) -> None:
+    def request_attestations(self, unconnected: list[messages.Endpoint], now: float) -> None:
         """Request daemons to try to connect to those of their zone that are not connected to control."""
-        if now < self._attest_at:
+        if now < self._next_attest_at:
             return
-        self._attest_at = now + ATTEST_INTERVAL
+        self._next_attest_at = now + ATTEST_INTERVAL
         for session in self._choose_attesters(unconnected):
             zone = session.child.state.zone
             message = messages.ControlMessage()
--- a/packages/lanedock-daemon/lanedock_daemon/control/endpoints.py
+++ b/packages/lanedock-daemon/lanedock_daemon/control/endpoints.py
@@ -43,8 +43,8 @@
         self._silence_timeout = silence_timeout
         self._heard_at: dict[str, float] = {}
         self._sessions: dict[str, object] = {}
-        self._report_at = 0.0
-        self._keepalive_at = 0.0
+        self._next_report_at = 0.0
+        self._next_keepalive_at = 0.0
 
     def __repr__(self) -> str:
         return f"<EndpointExchange daemons={len(self._sessions)} replicas={len(self._heard_at)}>"
@@ -111,11 +111,11 @@
             Monotonic, seconds.
         """
         self.zones[replica_name(me)] = self._zone
-        is_due = self._registry.is_report_due() or bool(self._suspicion_outbox) or now >= self._keepalive_at
-        if now < self._report_at or not is_due:
+        is_due = self._registry.is_report_due() or bool(self._suspicion_outbox) or now >= self._next_keepalive_at
+        if now < self._next_report_at or not is_due:
             return []
-        self._report_at = now + REPORT_INTERVAL
-        self._keepalive_at = now + KEEPALIVE_INTERVAL
+        self._next_report_at = now + REPORT_INTERVAL
+        self._next_keepalive_at = now + KEEPALIVE_INTERVAL
         report = self._registry.make_report()
         report.suspicions.extend(self._quarantine.take_news(self._suspicion_outbox, now))
         report.zone = self._zone
--- a/packages/lanedock-daemon/lanedock_daemon/control/leader.py
+++ b/packages/lanedock-daemon/lanedock_daemon/control/leader.py
@@ -30,8 +30,8 @@
 
     def __init__(self):
         self._reported_to = ("", 0)
-        self._report_at = 0.0
-        self._keepalive_at = 0.0
+        self._next_report_at = 0.0
+        self._next_keepalive_at = 0.0
 
     def __repr__(self) -> str:
         return f"<FleetReporter reported_to={self._reported_to}>"
@@ -43,14 +43,14 @@
     def take_due(self, sessions: DaemonSessions, replica: RaftReplica, now: float) -> messages.FleetReport | None:
         """Return the report to send to the leader now, or None where no report is due."""
         target = (replica.leader, replica.term)
-        if not replica.leader or now < self._report_at:
+        if not replica.leader or now < self._next_report_at:
             return None
         is_new = target != self._reported_to
-        if not (is_new or sessions.is_report_due() or now >= self._keepalive_at):
+        if not (is_new or sessions.is_report_due() or now >= self._next_keepalive_at):
             return None
         self._reported_to = target
-        self._report_at = now + REPORT_INTERVAL
-        self._keepalive_at = now + KEEPALIVE_INTERVAL
+        self._next_report_at = now + REPORT_INTERVAL
+        self._next_keepalive_at = now + KEEPALIVE_INTERVAL
         return sessions.take_report(whole=is_new)
 
 
--- a/packages/lanedock-daemon/lanedock_daemon/control/queries.py
+++ b/packages/lanedock-daemon/lanedock_daemon/control/queries.py
@@ -36,7 +36,7 @@
         self._name = name
         self._waiting: list[tuple[object, float]] = []
 
-    def ask(self, item) -> None:
+    def enqueue(self, item) -> None:
         """Queue a query."""
         self._waiting.append((item, monotonic() + LEADER_TIMEOUT))
 
--- a/packages/lanedock-daemon/lanedock_daemon/control/reads.py
+++ b/packages/lanedock-daemon/lanedock_daemon/control/reads.py
@@ -36,7 +36,7 @@
     def __repr__(self) -> str:
         return f"<ReadQueue waiting={len(self._waiting)} reads={len(self._reads)}>"
 
-    def ask(self, call: Call, now: float) -> None:
+    def enqueue(self, call: Call, now: float) -> None:
         """Queue an operator's read."""
         self._waiting.append((call, now + CALL_TIMEOUT))
 
--- a/packages/lanedock-daemon/lanedock_daemon/control/service.py
+++ b/packages/lanedock-daemon/lanedock_daemon/control/service.py
@@ -87,12 +87,12 @@
             ChildLeft: self._on_child_left,
             ListRead: self._on_list,
             SubmitRequested: self._on_submit,
-            StatusRequested: lambda item: self._queries.ask(item),
-            HistoryRequested: lambda item: self._queries.ask(item),
-            ShowRequested: lambda item: self._queries.ask(item),
+            StatusRequested: lambda item: self._queries.enqueue(item),
+            HistoryRequested: lambda item: self._queries.enqueue(item),
+            ShowRequested: lambda item: self._queries.enqueue(item),
             QuarantineRequested: lambda item: answer_operator(item, self._quarantine, monotonic()),
-            CanaryRequested: lambda item: self._canaries.ask(item, self._directory.endpoints(), monotonic()),
-            ReadRequested: lambda item: self._reads.ask(item.call, monotonic()),
+            CanaryRequested: lambda item: self._canaries.handle(item, self._directory.endpoints(), monotonic()),
+            ReadRequested: lambda item: self._reads.enqueue(item.call, monotonic()),
             SeedsChanged: lambda item: self._on_seeds(item.control),
         }
 
@@ -186,7 +186,7 @@
         now = monotonic()
         self._log.replica.tick(now)
         self._announce_leader()
-        self._sessions.send_heartbeats(now, *self._freshness(now))
+        self._sessions.send_heartbeats(now, *self._measure_freshness(now))
         self._directory.tick(now)
         self._quarantine.expire(now)
         self._traffic.emit(now)
@@ -219,15 +219,15 @@
             self._sessions.expedite_heartbeats()
         self._known_leader = leader
 
-    def _freshness(self, now: float) -> tuple[int, float]:
+    def _measure_freshness(self, now: float) -> tuple[int, float]:
         """Return the number of the newest accepted version known here, and the seconds since a leader was heard."""
         return self._log.state.accepted_version.number, self._log.replica.silence(now)
 
     def _on_child_arrived(self, item: ChildArrived) -> None:
-        freshness = self._freshness(monotonic())
+        freshness = self._measure_freshness(monotonic())
         is_admitted = self._sessions.greet(item.session, item.message, self._directory.whole_update, *freshness)
         if is_admitted:
-            self._directory.greet(item.session)
+            self._directory.complete_admission(item.session)
         self._directory.apply_report(item.session, item.message, monotonic())
 
     def _on_child_reported(self, item: ChildReported) -> None:
