--- a/packages/lanedock/lanedock/limits/bodies.py
+++ b/packages/lanedock/lanedock/limits/bodies.py
@@ -148,7 +148,7 @@
             return transfer
         arrival = now + (ahead + transfer.size) * seconds_per_byte
         wait = max(0.0, ahead - self._limit()) * seconds_per_byte
-        is_hopeless = now + _WAIT_MARGIN * wait > expires_at or arrival > request.queue_priority
+        is_hopeless = now + _WAIT_MARGIN * wait > expires_at or arrival > request.target_or_deadline
         if is_hopeless or not (self._queue.has_room(traffic_class) or self._queue.evict_for(traffic_class, request)):
             return Refused(ErrorCode.OVERLOADED, wait, "link")
         self._queue.add(transfer)
@@ -256,8 +256,8 @@
         """
         if self.waiting:
             self._rate.mark_limited()
-        for name in self._queue.classes():
-            while self._queue.has_any(name):
+        for name in self._queue.list_classes():
+            while self._queue.has_queued(name):
                 if not self._may_admit(now):
                     return
                 transfer = self._queue.pop_first(name)
--- a/packages/lanedock/lanedock/limits/queue.py
+++ b/packages/lanedock/lanedock/limits/queue.py
@@ -1,5 +1,5 @@
 # SPDX-License-Identifier: BSD-3-Clause
-"""Requests that wait for a slot: their order, and which of them makes room for another."""
+"""The admission queue: the order of the requests that wait, and which of them is evicted for another."""
 
 from lanedock.config import TrafficClass
 
@@ -7,24 +7,24 @@
 
 
 class AdmissionRequest:
-    """What decides whether and when a request is admitted.
+    """The properties of a request that decide whether and when it is admitted.
 
     Parameters
     ----------
     deadline : float
         Monotonic, seconds.
     target_time : float, optional
-        Monotonic, seconds; an answer later than this is worth little, so what
-        would have to wait past it is refused while there is time to go
-        elsewhere. Counted from the caller's first attempt: a retry's may have
-        passed already, and then it takes a free slot but waits for none. The
-        deadline where left out.
+        Monotonic, seconds; `deadline` if left out. An answer after this time is worth
+        little, so a request that would wait past it is refused while there is still time
+        to send it to another instance. The target time counts from the caller's first
+        attempt: that of a retry may have passed already, and then the retry takes a free
+        slot but does not wait for one.
     kind : str
-        Such as its route's name: its own time is estimated by that of others of
-        its kind.
+        Such as the name of the request's route. The service time of a request is estimated
+        from other requests of its kind.
     start_by : float, optional
-        Monotonic, seconds; not admitted later, for whoever has sent it has ended when
-        its answer comes. The deadline where left out.
+        Monotonic, seconds; `deadline` if left out. The request is not admitted later, as its
+        sender will have ended before the answer arrives.
     """
 
     __slots__ = ("deadline", "kind", "start_by", "target_time")
@@ -41,8 +41,8 @@
         return f"<AdmissionRequest {self.kind} deadline={self.deadline:.3f} target_time={self.target_time}>"
 
     @property
-    def queue_priority(self) -> float:
-        """Its place within its class; the least is admitted first."""
+    def target_or_deadline(self) -> float:
+        """Target time, or deadline if there is none; the earliest of a class is admitted first."""
         return self.deadline if self.target_time is None else self.target_time
 
 
@@ -54,12 +54,11 @@
     traffic_class : str
     request : AdmissionRequest
     on_admitted : callable
-        Called without arguments once the slot is the request's, or once it has
-        been evicted.
+        Called without arguments when the request gets a slot, or when it is evicted.
     is_evicted : bool
-        Whether it had to make room for one of a higher priority.
+        Whether the request was removed in favor of one of a higher priority.
     expires_at : float
-        Monotonic, seconds; until then it waits.
+        Monotonic, seconds; the request waits until then.
     """
 
     __slots__ = ("expires_at", "is_evicted", "on_admitted", "request", "traffic_class")
@@ -76,11 +75,11 @@
 
 
 class AdmissionQueue:
-    """The queued requests of all classes. Pure.
+    """The queued requests of all classes, in order of priority.
 
-    Classes go strictly by priority. Within a class the earliest target time goes
-    first, so that a short call that a request in progress elsewhere waits for isn't
-    held up by long ones.
+    Does no I/O and reads no clock. Classes are served strictly by priority. Within a class
+    the request with the earliest target time is first, so that long requests don't delay a
+    short call for which another request in progress waits.
 
     Parameters
     ----------
@@ -101,23 +100,23 @@
         return self._length
 
     def configure(self, limit: int, classes: dict[str, TrafficClass]) -> None:
-        """Take over another version's numbers; what waits stays."""
+        """Apply the limits of another configuration version; queued requests are kept."""
         self.limit = limit
         self._shares = {name: int(item.share * limit) for name, item in classes.items()}
-        # The name breaks ties the same way everywhere.
-        self._order = sorted(classes, key=lambda name: (classes[name].priority, name))
+        # The name breaks ties, so that all daemons use the same order.
+        self._class_order = sorted(classes, key=lambda name: (classes[name].priority, name))
 
-    def classes(self) -> list[str]:
-        """Return the classes, the most urgent first; those of former versions come last."""
-        return [*self._order, *(name for name in self._by_class if name not in self._order)]
+    def list_classes(self) -> list[str]:
+        """Return the classes, the most urgent first and those of former configuration versions last."""
+        return [*self._class_order, *(name for name in self._by_class if name not in self._class_order)]
 
     def add(self, queued: QueuedRequest) -> None:
-        """Let a request wait."""
+        """Add a request to the queue."""
         self._by_class.setdefault(queued.traffic_class, []).append(queued)
         self._length += 1
 
     def remove(self, queued: QueuedRequest) -> bool:
-        """Let a request wait no more; False where it does not wait."""
+        """Remove a request from the queue; return False if it is not there."""
         waiting = self._by_class.get(queued.traffic_class, [])
         if queued not in waiting:
             return False
@@ -125,30 +124,30 @@
         self._length -= 1
         return True
 
-    def has_any(self, traffic_class: str) -> bool:
+    def has_queued(self, traffic_class: str) -> bool:
         """Tell whether requests of a class wait."""
         return bool(self._by_class.get(traffic_class))
 
     def pop_first(self, traffic_class: str) -> QueuedRequest:
-        """Take the request of a class that is to be admitted first."""
+        """Remove and return the request of a class that is to be admitted first."""
         waiting = self._by_class[traffic_class]
-        position = min(range(len(waiting)), key=lambda number: waiting[number].request.queue_priority)
+        position = min(range(len(waiting)), key=lambda number: waiting[number].request.target_or_deadline)
         self._length -= 1
         return waiting.pop(position)
 
     def list_ahead(self, traffic_class: str, request: AdmissionRequest) -> list[QueuedRequest]:
-        """Return the queued requests that would be admitted before another one, in no order."""
+        """Return the queued requests that would be admitted before a given one, in no particular order."""
         ahead: list[QueuedRequest] = []
-        for name in self._order:
+        for name in self._class_order:
             if name == traffic_class:
                 break
             ahead += self._by_class.get(name, ())
-        priority = request.queue_priority
+        latest = request.target_or_deadline
         same_class = self._by_class.get(traffic_class, ())
-        return ahead + [queued for queued in same_class if queued.request.queue_priority <= priority]
+        return ahead + [queued for queued in same_class if queued.request.target_or_deadline <= latest]
 
     def count_ahead(self, traffic_class: str, request: AdmissionRequest) -> int:
-        """Count the queued requests that would be admitted before another one."""
+        """Count the queued requests that would be admitted before a given one."""
         return len(self.list_ahead(traffic_class, request))
 
     def has_room(self, traffic_class: str) -> bool:
@@ -165,13 +164,18 @@
         return self.limit - self._length > unused
 
     def evict_for(self, traffic_class: str, request: AdmissionRequest) -> bool:
-        """Make room in a full queue, if a request goes before the last one there.
+        """Evict the last request of a full queue if a given request precedes it.
 
-        The last one is that of the least urgent class which holds more than its
-        share of the queue. Without this, less urgent requests that wait keep more
+        The last request belongs to the least urgent class that holds more than its share
+        of the queue. Without eviction, less urgent requests that wait would keep more
         urgent ones out of a short queue.
+
+        Returns
+        -------
+        bool
+            Whether a request was evicted.
         """
-        for name in reversed(self.classes()):
+        for name in reversed(self.list_classes()):
             waiting = self._by_class.get(name, [])
             if name == traffic_class:
                 return self._evict_last(waiting, request)
@@ -180,11 +184,11 @@
         return False
 
     def _evict_last(self, waiting: list[QueuedRequest], request: AdmissionRequest | None) -> bool:
-        """Evict the last of a class's requests, where another of its class goes before it."""
+        """Evict the last of a class's requests; where `request` is of that class, only if it precedes the last."""
         if not waiting:
             return False
-        last = max(waiting, key=lambda queued: queued.request.queue_priority)
-        if request is not None and last.request.queue_priority <= request.queue_priority:
+        last = max(waiting, key=lambda queued: queued.request.target_or_deadline)
+        if request is not None and last.request.target_or_deadline <= request.target_or_deadline:
             return False
         self.remove(last)
         last.is_evicted = True
--- a/packages/lanedock/lanedock/limits/rate.py
+++ b/packages/lanedock/lanedock/limits/rate.py
@@ -1,45 +1,45 @@
 # SPDX-License-Identifier: BSD-3-Clause
-"""The rate at which an upstream's requests are let through, and when callers may ask for more."""
+"""The rate limit on an upstream's requests, and the turns at which callers may send more."""
 
 import math
 
 __all__ = ["RateLimiter"]
 
-# What may come at once after a quiet time: so many seconds' worth of the rate, and a request.
+# Burst that may be admitted after an idle time: the tokens of this time, in seconds, and one request.
 _BURST_TIME = 0.25
-_BURST = 1.0
-# The same where requests arrive: admitted ones may be held up, each by its body, and come together.
+_BURST_TOKENS = 1.0
+# The same for arrivals; larger, as admitted requests may be delayed by their bodies and then arrive together.
 _ARRIVAL_BURST_TIME = 0.5
-_ARRIVAL_BURST = 2.0
-# Longest time to its turn that a caller is given, in seconds: it has to notice the limit's end, too.
-_LONGEST_TURN = 5.0
+_ARRIVAL_BURST_TOKENS = 2.0
+# Longest delay until a caller's turn, in seconds, so that callers notice soon when a limit ends.
+_MAX_TURN_DELAY = 5.0
 
 
 class _TokenBucket:
-    """Tokens that come at a rate, and are kept up to a burst."""
+    """Tokens that are added at a rate, in tokens per second, up to a burst."""
 
-    __slots__ = ("_filled_at", "_tokens", "burst", "rate")
+    __slots__ = ("_refilled_at", "_tokens", "burst", "rate")
 
     def __init__(self, rate: float, burst: float, now: float):
         self.rate = rate
         self.burst = burst
         self._tokens = min(1.0, burst)
-        self._filled_at = now
+        self._refilled_at = now
 
     def configure(self, rate: float, burst: float, now: float) -> None:
-        self._fill(now)
+        self._refill(now)
         self.rate, self.burst = rate, burst
         self._tokens = min(self._tokens, burst)
 
-    def _fill(self, now: float) -> None:
-        self._tokens = min(self.burst, self._tokens + self.rate * max(0.0, now - self._filled_at))
-        self._filled_at = max(now, self._filled_at)
+    def _refill(self, now: float) -> None:
+        self._tokens = min(self.burst, self._tokens + self.rate * max(0.0, now - self._refilled_at))
+        self._refilled_at = max(now, self._refilled_at)
 
     def wait(self, now: float, ahead: int = 0) -> float:
-        """Return the seconds until there is a token behind so many others; 0 where there is."""
-        self._fill(now)
+        """Return the seconds until a token is free, after `ahead` other requests took theirs; 0 if one is."""
+        self._refill(now)
         lacking = 1 + ahead - self._tokens
-        # A sum of many small parts may lack a token by a rounding error.
+        # A sum of many small refills may be short of a token by a rounding error.
         if lacking <= 1e-9:
             return 0.0
         return lacking / self.rate if self.rate else math.inf
@@ -49,25 +49,27 @@
 
 
 class RateLimiter:
-    """Lets requests through at a rate that may change, or be unlimited. Pure.
+    """Admits requests at a rate that may change, or without a limit.
 
-    A request takes a token as it is admitted. Once its body is at hand it may have to wait
-    again, briefly, where several were held up and would arrive together.
+    Does no I/O and reads no clock.
 
-    Callers learn with their answers when it is their turn: consecutive ones, at the rate at
-    which tokens come. So they go elsewhere meanwhile, and together ask for hardly more than
-    there is, however many they are.
+    A request takes a token when it is admitted. Once its body is available it may have to
+    wait again, briefly, if several requests were delayed and would arrive together.
+
+    Answers tell callers when their next turn is. Turns are consecutive, at the rate at
+    which tokens are added. Until its turn a caller sends requests to other instances, so
+    that all callers together, however many, hardly exceed the limit.
 
     Attributes
     ----------
     rate : float or None
-        Requests a second; None for any number.
+        Requests per second; None for no limit.
     """
 
     def __init__(self):
         self.rate: float | None = None
-        self._admitted: _TokenBucket | None = None
-        self._arrived: _TokenBucket | None = None
+        self._admission_bucket: _TokenBucket | None = None
+        self._arrival_bucket: _TokenBucket | None = None
         self._turn_at = float("-inf")
 
     def __repr__(self) -> str:
@@ -79,49 +81,55 @@
         return self.rate is not None
 
     def configure(self, rate: float | None, now: float) -> None:
-        """Take over another rate, requests a second; None for no limit."""
+        """Apply another rate, in requests per second; None for no limit."""
         if rate == self.rate:
             return
         self.rate = rate
         if rate is None:
-            self._admitted = self._arrived = None
+            self._admission_bucket = self._arrival_bucket = None
             self._turn_at = float("-inf")
             return
-        admitted = (rate, _BURST + _BURST_TIME * rate, now)
-        arrived = (rate, _ARRIVAL_BURST + _ARRIVAL_BURST_TIME * rate, now)
-        if self._admitted is None:
-            self._admitted, self._arrived = _TokenBucket(*admitted), _TokenBucket(*arrived)
+        admission = (rate, _BURST_TOKENS + _BURST_TIME * rate, now)
+        arrival = (rate, _ARRIVAL_BURST_TOKENS + _ARRIVAL_BURST_TIME * rate, now)
+        if self._admission_bucket is None:
+            self._admission_bucket, self._arrival_bucket = _TokenBucket(*admission), _TokenBucket(*arrival)
         else:
-            self._admitted.configure(*admitted)
-            self._arrived.configure(*arrived)
-        # Turns that were given at a former rate are no measure of this one.
+            self._admission_bucket.configure(*admission)
+            self._arrival_bucket.configure(*arrival)
+        # Turns assigned at the former rate don't delay those at this rate.
         self._turn_at = now
 
     def wait(self, now: float, ahead: int = 0) -> float:
-        """Return the seconds until a request may be admitted behind so many others; 0 where it may."""
-        return 0.0 if self._admitted is None else self._admitted.wait(now, ahead)
+        """Return the seconds until a request may be admitted after `ahead` others; 0 if it may be now."""
+        return 0.0 if self._admission_bucket is None else self._admission_bucket.wait(now, ahead)
 
     def admit(self) -> None:
-        """Note that a request is admitted."""
-        if self._admitted is not None:
-            self._admitted.add(-1.0)
+        """Take a token for a request that is admitted."""
+        if self._admission_bucket is not None:
+            self._admission_bucket.add(-1.0)
 
-    def give_back(self) -> None:
-        """Note that an admitted request won't arrive."""
-        if self._admitted is not None:
-            self._admitted.add(1.0)
+    def refund(self) -> None:
+        """Return the token of an admitted request that won't arrive."""
+        if self._admission_bucket is not None:
+            self._admission_bucket.add(1.0)
 
     def arrive(self, now: float) -> float:
-        """Note that a request arrives, where it may; returns the seconds for which it has to wait, else 0."""
-        if self._arrived is None:
+        """Let an admitted request arrive, if it may; else return the seconds for which it has to wait.
+
+        Returns
+        -------
+        float
+            0 if the request arrives now.
+        """
+        if self._arrival_bucket is None:
             return 0.0
-        wait = self._arrived.wait(now)
+        wait = self._arrival_bucket.wait(now)
         if not wait:
-            self._arrived.add(-1.0)
+            self._arrival_bucket.add(-1.0)
         return wait
 
     def next_turn(self, now: float, queued: int) -> float:
-        """Give a caller its turn.
+        """Assign the next turn to a caller.
 
         Parameters
         ----------
@@ -133,13 +141,13 @@
         Returns
         -------
         float
-            Seconds until its next request is worth sending; 0 where any is.
+            Seconds until the caller may send its next request; 0 if it may do so at once.
         """
-        if self._admitted is None:
+        if self._admission_bucket is None:
             return 0.0
-        free_at = now + min(self._admitted.wait(now, queued), _LONGEST_TURN)
+        free_at = now + min(self._admission_bucket.wait(now, queued), _MAX_TURN_DELAY)
         turn_at = max(free_at, self._turn_at)
         if turn_at <= now:
             return 0.0
-        self._turn_at = min(turn_at + 1 / self.rate, now + _LONGEST_TURN) if self.rate else turn_at
+        self._turn_at = min(turn_at + 1 / self.rate, now + _MAX_TURN_DELAY) if self.rate else turn_at
         return turn_at - now
--- a/packages/lanedock/lanedock/limits/service_times.py
+++ b/packages/lanedock/lanedock/limits/service_times.py
@@ -1,26 +1,28 @@
 # SPDX-License-Identifier: BSD-3-Clause
-"""How long requests hold a slot, by traffic class and by kind."""
+"""Times for which requests hold a slot, by traffic class and by kind."""
 
 from lanedock.averages import MovingTime
 
 __all__ = ["ServiceTimes"]
 
-# Weight of the newest time in the moving averages: a change of pace, such as that
-# of an application that has just started, is followed within ten requests.
+# Weight of the newest time in the moving averages: they follow a change, such as when an
+# application that has just started becomes faster, within ten requests.
 _SMOOTHING = 0.1
-# Time assumed, before any has been seen, that hardly a request exceeds, in seconds.
-_TAIL_FIRST = 0.5
-# Kinds of requests whose times are kept; a bound on memory, not a tuning.
+# Tail assumed for a kind of which no request has ended, in seconds.
+_DEFAULT_TAIL = 0.5
+# Kinds of requests whose times are kept, to bound the memory used.
 _MAX_KINDS = 1024
 
 
 class ServiceTimes:
-    """Moving averages of the time in a slot. Pure.
+    """Moving averages of the service time: the time for which a request holds a slot.
+
+    Does no I/O and reads no clock.
 
     Attributes
     ----------
     mean : float or None
-        Of all requests, in seconds; None before any has ended.
+        Mean over all requests, in seconds; None before any has ended.
     """
 
     def __init__(self):
@@ -32,7 +34,7 @@
         return f"<ServiceTimes mean={self.mean} kinds={len(self._kinds)}>"
 
     def note(self, traffic_class: str, kind: str, duration: float) -> None:
-        """Note the time that a request held its slot, in seconds."""
+        """Record the time for which a request held its slot, in seconds."""
         if self.mean is None:
             self.mean = duration
         self.mean += _SMOOTHING * (duration - self.mean)
@@ -51,20 +53,26 @@
         self._kinds[kind] = MovingTime(duration, _SMOOTHING)
 
     def class_mean(self, traffic_class: str) -> float:
-        """Return the mean time of a class's requests, in seconds; 0 where none has ended."""
+        """Return the mean service time of a class, in seconds; 0 if none of its requests has ended."""
         return self._classes.get(traffic_class, 0.0)
 
     def tail(self, kind: str) -> float:
-        """Return the time that a few in a hundred requests of a kind exceed, in seconds."""
+        """Return the service time that a few percent of a kind's requests exceed, in seconds."""
         known = self._kinds.get(kind)
-        return _TAIL_FIRST if known is None else known.tail
+        return _DEFAULT_TAIL if known is None else known.tail
+
+    def kind_mean(self, kind: str) -> float | None:
+        """Return the mean service time of a kind, in seconds.
 
-    def typical(self, kind: str) -> float | None:
-        """Return the mean time of a kind, in seconds; None where nothing is known."""
+        For an unknown kind it is the mean over all requests, and None before any has ended.
+        """
         known = self._kinds.get(kind)
         return self.mean if known is None else known.mean
 
     def upper(self, kind: str) -> float | None:
-        """Return a time that most requests of a kind don't exceed, in seconds; None where nothing is known."""
+        """Return a service time that most requests of a kind don't exceed, in seconds.
+
+        For an unknown kind it is the mean over all requests, and None before any has ended.
+        """
         known = self._kinds.get(kind)
         return self.mean if known is None else known.upper
--- a/packages/lanedock/lanedock/limits/shares.py
+++ b/packages/lanedock/lanedock/limits/shares.py
@@ -1,5 +1,5 @@
 # SPDX-License-Identifier: BSD-3-Clause
-"""Which of an upstream's slots a traffic class may use."""
+"""The slots of an upstream that each traffic class may use."""
 
 import math
 
@@ -7,23 +7,24 @@
 
 __all__ = ["SlotShares"]
 
-# A class whose requests hold a slot longer than this, in seconds, uses no slots
-# reserved for other classes: they would not be free again soon.
-_SHORT_REQUEST = 0.25
-# Time constant, in seconds, by which a class's highest use is forgotten.
-_PEAK_AGE = 5.0
-# Highest use below which a class counts as absent, in slots.
-_PRESENT = 0.2
+# Mean service time up to which a class may use slots reserved for other classes, in seconds;
+# slots that are held for longer are not free again soon enough.
+_SHORT_REQUEST_TIME = 0.25
+# Time constant with which a class's peak use decays, in seconds.
+_PEAK_DECAY_TIME = 5.0
+# Decayed peak use below which a class counts as absent, in slots.
+_MIN_PEAK = 0.2
 
 
 class SlotShares:
-    """Slots in use by class, and those reserved for each. Pure.
+    """Slots in use and slots reserved, by traffic class.
 
-    A class may use slots beyond its own share as long as what is free covers
-    what is reserved for the other classes. For a class of long requests that is
-    the whole of their unused shares. A class of short requests gives a slot
-    back soon, so for it only as much is reserved as the others have used lately,
-    and one more.
+    Does no I/O and reads no clock.
+
+    A class may exceed its own share while the free slots cover what is reserved for the
+    other classes. Against a class of long requests, the whole of their unused shares is
+    reserved. A class of short requests frees its slots soon, so against it only the slots
+    that each of the others has used recently, and one more for each, are reserved.
 
     Parameters
     ----------
@@ -32,12 +33,16 @@
 
     Attributes
     ----------
+    slots : int
+        Requests that may be in progress at once.
     in_use : int
+        Requests in progress.
     """
 
     def __init__(self, slots: int, classes: dict[str, TrafficClass]):
         self.in_use = 0
         self._by_class: dict[str, int] = {}
+        # Peak use of each class, in slots, and the time at which it was seen.
         self._peaks: dict[str, tuple[float, float]] = {}
         self.configure(slots, classes)
 
@@ -45,25 +50,25 @@
         return f"<SlotShares {self.in_use}/{self.slots}>"
 
     def configure(self, slots: int, classes: dict[str, TrafficClass]) -> None:
-        """Take over another version's numbers; what is in use stays so."""
+        """Apply the limits of another configuration version; slots in use are kept."""
         self.slots = slots
         self._shares = {name: int(item.share * slots) for name, item in classes.items()}
 
     def take(self, traffic_class: str, now: float) -> None:
-        """Note that a request has a slot from now on."""
+        """Note that a request takes a slot."""
         used = self._by_class.get(traffic_class, 0) + 1
         self._by_class[traffic_class] = used
         self.in_use += 1
-        if used >= self._peak(traffic_class, now):
+        if used >= self._decayed_peak(traffic_class, now):
             self._peaks[traffic_class] = (used, now)
 
-    def give_back(self, traffic_class: str) -> None:
-        """Note that a slot is free again."""
+    def release(self, traffic_class: str) -> None:
+        """Note that a request releases its slot."""
         self._by_class[traffic_class] -= 1
         self.in_use -= 1
 
     def classes_in_use(self) -> list[str]:
-        """Return the classes that have slots."""
+        """Return the classes that hold slots."""
         return [name for name, used in self._by_class.items() if used]
 
     def has_room(self, traffic_class: str, mean_time: float, now: float) -> bool:
@@ -73,7 +78,7 @@
         ----------
         traffic_class : str
         mean_time : float
-            For which its requests hold one, in seconds.
+            Mean time for which requests of the class hold a slot, in seconds.
         now : float
             Monotonic, seconds.
         """
@@ -81,7 +86,9 @@
             return False
         if self._by_class.get(traffic_class, 0) < self._shares.get(traffic_class, 0):
             return True
-        return self.slots - self.in_use > self._reserved_for_others(traffic_class, mean_time <= _SHORT_REQUEST, now)
+        return self.slots - self.in_use > self._reserved_for_others(
+            traffic_class, mean_time <= _SHORT_REQUEST_TIME, now
+        )
 
     def _reserved_for_others(self, traffic_class: str, is_short: bool, now: float) -> int:
         reserved = 0
@@ -89,11 +96,11 @@
             if name == traffic_class:
                 continue
             if is_short:
-                peak = self._peak(name, now)
-                share = min(share, math.ceil(peak) + 1) if peak >= _PRESENT else 0
+                peak = self._decayed_peak(name, now)
+                share = min(share, math.ceil(peak) + 1) if peak >= _MIN_PEAK else 0
             reserved += max(0, share - self._by_class.get(name, 0))
         return reserved
 
-    def _peak(self, traffic_class: str, now: float) -> float:
+    def _decayed_peak(self, traffic_class: str, now: float) -> float:
         value, seen_at = self._peaks.get(traffic_class, (0.0, now))
-        return value * math.exp((seen_at - now) / _PEAK_AGE)
+        return value * math.exp((seen_at - now) / _PEAK_DECAY_TIME)
--- a/packages/lanedock/lanedock/limits/slots.py
+++ b/packages/lanedock/lanedock/limits/slots.py
@@ -1,9 +1,8 @@
 # SPDX-License-Identifier: BSD-3-Clause
-"""The limit on one upstream's work: its slots, the rate that it takes, and a short queue for them.
+"""The concurrency limit of one upstream: its slots, its request rate, and a short queue for both.
 
-An upstream's daemon is the only way in, so it knows the slots in use exactly.
-It refuses early: a request that could not be answered in time is refused before
-it waits.
+All requests to an upstream pass through its daemon, so the daemon knows exactly how many
+slots are in use. A request that can't be answered in time is refused before it waits.
 """
 
 from random import Random
@@ -17,36 +16,38 @@
 
 __all__ = ["Refused", "SlotLimiter"]
 
-# Time that a request is taken to need before any has ended, in seconds, where it
-# has no target time; else this part of the time to its target. It guards a start
-# under load, when a whole queue would be admitted that ends late.
-_FIRST_ESTIMATE = 0.005
-_FIRST_PART = 0.5
-# Estimated waits are means, and requests of a higher priority come in between: a
-# request waits where this many times the estimate is in time. Callers are better
-# refused at once than after they have waited for nothing; no unit.
+# Service time assumed before any request has ended: a fixed time, in seconds, for a request
+# without a target time, else a fraction of the time to its target. Without it, an upstream
+# that starts under load would admit a whole queue of requests that end late.
+_DEFAULT_SERVICE_TIME = 0.005
+_DEFAULT_TARGET_FRACTION = 0.5
+# Factor applied to an estimated wait before it is compared with the time available. Estimates
+# are means, and requests of a higher priority may be admitted first; for callers an immediate
+# refusal is better than a refusal after a wait.
 _WAIT_MARGIN = 1.5
-# Slots that come free while a request may wait in any case, if it is expected to be
-# in time at all: one, by the margin above. Where requests take nearly as long as callers
-# give them nobody would wait otherwise, and late retries would take each free slot.
+# Time that a request may wait at least, in mean intervals between freed slots, provided that it
+# can still be answered in time: one interval times the margin above. Otherwise no request would
+# wait where service times are close to callers' timeouts, and late retries would take every
+# free slot.
 _NEXT_SLOTS = 1.6
-# Retry delay where the application takes no requests at all, in seconds.
-_NOTHING_TAKEN = 5.0
-# Spread of the retry delays, as parts of the estimate, so that callers that were
-# refused together don't retry together.
-_SPREAD = (0.5, 1.5)
+# Upper bound of the estimated wait in a retry delay, in seconds; the estimate is infinite where
+# the application accepts no requests at all.
+_MAX_RETRY_WAIT = 5.0
+# Range of the random factor on retry delays, so that callers that were refused together don't
+# retry together.
+_RETRY_SPREAD = (0.5, 1.5)
 
 
 class Refused:
-    """A request was refused; it did not run.
+    """The refusal of a request, which did not run.
 
     Parameters
     ----------
     code : ErrorCode
     retry_after : float
-        Seconds after which it is worth asking again.
+        Delay after which the request may be retried, in seconds.
     limit : str, optional
-        By which it was refused: "slots", "rate" or "link".
+        The limit that refused the request: "slots", "rate" or "link".
     """
 
     __slots__ = ("code", "limit", "retry_after")
@@ -61,11 +62,14 @@
 
 
 class SlotLimiter:
-    """Slots of one upstream, shared among traffic classes. Pure.
+    """Slots of one upstream, shared among traffic classes.
+
+    Does no I/O and reads no clock.
 
     Parameters
     ----------
     slots : int
+        Requests that may be in progress at once.
     queue : int
         Requests that may wait.
     classes : dict of str to TrafficClass
@@ -75,14 +79,14 @@
     Attributes
     ----------
     rate : RateLimiter
-        What the application takes in a second.
+        Limits the requests that the application is sent per second.
     """
 
     def __init__(self, slots: int, queue: int, classes: dict[str, TrafficClass], rng: Random | None = None):
         self._rng = rng or Random()
         self._shares = SlotShares(slots, classes)
         self._queue = AdmissionQueue(queue, classes)
-        self._times = ServiceTimes()
+        self._service_times = ServiceTimes()
         self.rate = RateLimiter()
         self._full_since: float | None = None
 
@@ -91,7 +95,7 @@
 
     @property
     def slots(self) -> int:
-        """Requests that are worked on at once, at most."""
+        """Requests that may be in progress at once."""
         return self._shares.slots
 
     @property
@@ -101,7 +105,7 @@
 
     @property
     def in_use(self) -> int:
-        """Requests that are worked on."""
+        """Requests in progress."""
         return self._shares.in_use
 
     @property
@@ -110,11 +114,11 @@
         return len(self._queue)
 
     def classes_in_use(self) -> list[str]:
-        """Return the classes of the requests that are worked on."""
+        """Return the classes of the requests in progress."""
         return self._shares.classes_in_use()
 
     def configure(self, slots: int, queue: int, classes: dict[str, TrafficClass]) -> None:
-        """Take over another version's numbers; work in progress is kept."""
+        """Apply the limits of another configuration version; requests in progress and in the queue are kept."""
         self._shares.configure(slots, classes)
         self._queue.configure(queue, classes)
 
@@ -130,23 +134,22 @@
         now : float
             Monotonic, seconds.
         on_admitted : callable
-            Called without arguments once a slot is free, where the answer is a
-            QueuedRequest.
+            Called without arguments when a queued request gets a slot or is evicted.
 
         Returns
         -------
         None
-            The slot is the request's.
+            The request holds a slot.
         QueuedRequest
-            It has to wait.
+            The request has to wait.
         Refused
-            It can't be served in time.
+            The request can't be served in time, or the queue is full.
         """
         if self.rate.is_limited:
-            # A token that has just come is for who waits for it.
+            # Queued requests take new tokens before this request does.
             self.admit_queued(now)
         if now < request.start_by and self._has_room(traffic_class, now):
-            self._take(traffic_class, now)
+            self._take_slot(traffic_class, now)
             return None
         refused = self.judge(traffic_class, request, now)
         if refused is not None:
@@ -158,7 +161,7 @@
         return queued
 
     def judge(self, traffic_class: str, request: AdmissionRequest, now: float) -> Refused | None:
-        """Return why a request can't get a slot in time; None where it may."""
+        """Return the refusal of a request that can't get a slot in time, or None if it can."""
         if now >= request.deadline:
             return Refused(ErrorCode.DEADLINE, 0.0)
         if now >= request.start_by:
@@ -171,7 +174,7 @@
         return self.refuse(request, now, wait)
 
     def refuse(self, request: AdmissionRequest, now: float, wait: float | None = None) -> Refused:
-        """Refuse a request that would wait too long, or has.
+        """Refuse a request that would wait too long, or that has waited too long.
 
         Parameters
         ----------
@@ -179,7 +182,7 @@
         now : float
             Monotonic, seconds.
         wait : float, optional
-            Estimated, in seconds; that for the rate alone where it is left out.
+            Estimated wait, in seconds; by default the wait for the rate limit alone.
         """
         if wait is None:
             wait = self.rate.wait(now, self.waiting)
@@ -189,41 +192,46 @@
         return Refused(ErrorCode.OVERLOADED, retry_after)
 
     def release(self, traffic_class: str, duration: float | None, now: float, kind: str = "") -> None:
-        """Give a slot back, which may go to a queued request.
+        """Release a slot, and admit queued requests.
 
         Parameters
         ----------
+        traffic_class : str
         duration : float or None
-            How long the slot was used, seconds; None where nothing was run with it.
+            Time for which the slot was used, in seconds; None if no request was sent.
+        now : float
+            Monotonic, seconds.
+        kind : str
+            Kind of the request, such as its route's name.
         """
         if duration is not None:
-            self._times.note(traffic_class, kind, duration)
+            self._service_times.note(traffic_class, kind, duration)
         else:
-            self.rate.give_back()
-        self._shares.give_back(traffic_class)
+            self.rate.refund()
+        self._shares.release(traffic_class)
         self.admit_queued(now)
         if self.in_use < self.slots:
             self._full_since = None
 
     def admit_queued(self, now: float) -> None:
         """Admit the queued requests for which there is room."""
-        for name in self._queue.classes():
-            while self._queue.has_any(name) and self._has_room(name, now):
+        for name in self._queue.list_classes():
+            while self._queue.has_queued(name) and self._has_room(name, now):
                 queued = self._queue.pop_first(name)
-                self._take(name, now)
+                self._take_slot(name, now)
                 queued.on_admitted()
 
     def cancel(self, queued: QueuedRequest) -> bool:
-        """Let a request wait no more; False where it was admitted already."""
+        """Remove a request from the queue; return False if it is no longer there."""
         return self._queue.remove(queued)
 
     def return_after(self, request: AdmissionRequest, now: float, wait: float = 0.0) -> float:
         """Return the delay after which a refused request may be retried, in seconds.
 
-        One that can still be answered in time is retried while it can. For the
-        others it counts only that the overload is over: how long it goes on isn't
-        known, and one that has lasted for some time is expected to last for as long
-        again.
+        A request that can still be answered by its target time is retried before that
+        is too late. Any other request is retried when the overload is expected to be over.
+        The duration of an overload isn't known in advance; one that has lasted for some
+        time is expected to last as long again.
 
         Parameters
         ----------
@@ -231,69 +239,71 @@
         now : float
             Monotonic, seconds.
         wait : float
-            Estimated wait behind what is queued, in seconds.
+            Estimated wait behind the queued requests, in seconds.
         """
-        # An application that takes nothing at all doesn't say for how long.
-        wait = min(wait, _NOTHING_TAKEN)
+        wait = min(wait, _MAX_RETRY_WAIT)
         slack = self._expiry(request, now) - now
         if slack > wait and request.target_time is not None:
             return self._rng.uniform(wait, slack)
         full_for = now - self._full_since if self._full_since is not None else 0.0
-        estimate = max(wait, self._times.mean or _FIRST_ESTIMATE, full_for)
-        # Whoever retries later has no time left.
-        return min(estimate * self._rng.uniform(*_SPREAD), max(0.0, request.deadline - now))
+        estimate = max(wait, self._service_times.mean or _DEFAULT_SERVICE_TIME, full_for)
+        # A retry after the deadline is useless.
+        return min(estimate * self._rng.uniform(*_RETRY_SPREAD), max(0.0, request.deadline - now))
 
     def next_turn(self, now: float) -> float:
-        """Give a caller its turn; see `RateLimiter.next_turn`."""
+        """Assign the next turn to a caller; see `RateLimiter.next_turn`."""
         return self.rate.next_turn(now, self.waiting)
 
     def latest_start(self, request: AdmissionRequest, now: float) -> float:
-        """Return until when a request may wait, for what else it needs; before now where it may not."""
+        """Return the time until which a request may wait for resources other than a slot, such as its body.
+
+        The time is before `now` if the request must not wait.
+        """
         return self._expiry(request, now)
 
     def tail(self, kind: str) -> float:
-        """Return the time in a slot that hardly a request of a kind exceeds, in seconds."""
-        return self._times.tail(kind)
+        """Return the service time that few requests of a kind exceed, in seconds."""
+        return self._service_times.tail(kind)
 
     def _has_room(self, traffic_class: str, now: float) -> bool:
         if self.rate.wait(now):
             return False
-        return self._shares.has_room(traffic_class, self._times.class_mean(traffic_class), now)
+        return self._shares.has_room(traffic_class, self._service_times.class_mean(traffic_class), now)
 
-    def _take(self, traffic_class: str, now: float) -> None:
+    def _take_slot(self, traffic_class: str, now: float) -> None:
         self.rate.admit()
         self._shares.take(traffic_class, now)
         if self.in_use >= self.slots and self._full_since is None:
             self._full_since = now
 
     def _expiry(self, request: AdmissionRequest, now: float) -> float:
-        """Return until when a request waits.
+        """Return the time until which a request may wait.
 
-        For a retry that is late already this lies before now. Were such ones to wait,
-        behind all others and as long as they are expected to, they would take slots
-        from requests that can still be in time.
+        The time is before `now` for a retry that is already late. If late retries could
+        wait, each behind all others for its whole estimated wait, they would take slots
+        from requests that can still be answered in time.
         """
         if request.target_time is None:
             return request.start_by
-        needed = self._times.upper(request.kind)
+        needed = self._service_times.upper(request.kind)
         if needed is None:
-            start_by = request.target_time - self._first_estimate(request, now)
+            start_by = request.target_time - self._default_service_time(request, now)
         else:
-            next_slots = now + _NEXT_SLOTS * self._times.mean / self.slots
-            latest = request.target_time - self._times.typical(request.kind)
+            next_slots = now + _NEXT_SLOTS * self._service_times.mean / self.slots
+            latest = request.target_time - self._service_times.kind_mean(request.kind)
             start_by = max(request.target_time - needed, min(next_slots, latest))
         return min(request.start_by, start_by)
 
     def _estimate_wait(self, traffic_class: str, request: AdmissionRequest, now: float) -> float:
-        """Estimate the wait from the queued requests that would be admitted before, in seconds."""
+        """Estimate the wait from the queued requests that would be admitted first, in seconds."""
         ahead = 1 + self._queue.count_ahead(traffic_class, request)
-        mean = self._times.mean
+        mean = self._service_times.mean
         if mean is None:
-            mean = self._first_estimate(request, now)
+            mean = self._default_service_time(request, now)
         return max(ahead * mean / self.slots, self.rate.wait(now, ahead - 1))
 
-    def _first_estimate(self, request: AdmissionRequest, now: float) -> float:
-        """Estimate what a request takes before any has ended, in seconds."""
+    def _default_service_time(self, request: AdmissionRequest, now: float) -> float:
+        """Return the service time assumed before any request has ended, in seconds."""
         if request.target_time is None:
-            return _FIRST_ESTIMATE
-        return _FIRST_PART * max(0.0, request.target_time - now)
+            return _DEFAULT_SERVICE_TIME
+        return _DEFAULT_TARGET_FRACTION * max(0.0, request.target_time - now)
