--- a/packages/lanedock/lanedock/limits/__init__.py
+++ b/packages/lanedock/lanedock/limits/__init__.py
@@ -1,5 +1,5 @@
 # SPDX-License-Identifier: BSD-3-Clause
-"""Limits on work: slots with shares, bodies on their way, retry budgets, admission."""
+"""Limits on requests: slots and their shares, request rates, bodies in flight, retry budgets and admission."""
 
 from lanedock.limits.admission import Admission
 from lanedock.limits.bodies import BodyAdmission
--- a/packages/lanedock/lanedock/limits/body_transfer.py
+++ b/packages/lanedock/lanedock/limits/body_transfer.py
@@ -1,117 +1,126 @@
 # SPDX-License-Identifier: BSD-3-Clause
-"""A body that is to come to a daemon, or on its way."""
+"""The state of one request body that waits for, or is in flight on, a daemon's link."""
 
 from lanedock.limits.queue import AdmissionRequest, QueuedRequest
 
 __all__ = ["QUEUE_TIME", "BodyTransfer"]
 
-# Time that the bodies on their way should take, in seconds: several round trips between
-# zones, so that a link never waits for a consent, and half of what the shortest calls
-# may take (0.2 s).
+# Time that the link should need for the bodies in flight, in seconds: several round trips
+# between zones, so that the link is never idle while a sender waits for permission, and half
+# of the time available to the shortest calls (0.2 s).
 QUEUE_TIME = 0.1
-# Part of the observed rate: whoever brings less of a body may be slow. Half, as other
-# bodies that come meanwhile take their part.
-_SLOW_PART = 0.5
-# Part of what a slow sender brings in `QUEUE_TIME` by which its body counts: under 1, so
-# that slow senders are let in until they fill the link, as BBR's windows of twice the
-# product of rate and delay find more of it.
-_PROBE_PART = 0.5
-# Size that a body is taken to have where its sender doesn't say, in bytes.
-_UNKNOWN_SIZE = 64 * 1024
+# Fraction of a rate up to which a body counts as slow. Half, as other bodies that arrive
+# meanwhile take a part of the link.
+_SLOW_FRACTION = 0.5
+# Fraction of the bytes that a slow sender delivers in `QUEUE_TIME` which count as in flight.
+# Below 1, so that further slow senders are admitted until they fill the link; BBR's windows of
+# twice the bandwidth-delay product find unused bandwidth in the same way.
+_OVERTAKEN_FRACTION = 0.5
+# Size assumed for a body whose sender doesn't state it, in bytes.
+_DEFAULT_SIZE = 64 * 1024
 
 
 class BodyTransfer(QueuedRequest):
-    """A body that is to come, or on its way.
+    """A body that waits for the link, or is in flight.
 
     Attributes
     ----------
     size : int
         In bytes.
-    left : int
-        Bytes that haven't come yet; all of `size` to its end where that is a guess.
+    remaining : int
+        Bytes that haven't arrived yet; always `size` if the sender didn't state the size.
     is_admitted : bool
-        Whether its sender may be asked to send it.
+        Whether the sender may be asked for the body.
     begun_at : float or None
-        When its sender was asked; None before.
+        Monotonic, seconds; when the sender was asked for the body. None before.
     pace : float
-        Bytes a second at which its sender is asked to send it; infinite for any.
+        Rate at which the sender is asked to send, in bytes per second; infinite for no limit.
     is_overtaken : bool
-        Whether another body, asked for later, has come past it: what is left of it
-        isn't on the link, then, but with its sender.
+        Whether bytes of a body that was asked for later have arrived first. The remaining
+        bytes of this body are then still with its sender, not on the link.
     """
 
     __slots__ = (
-        "_has_size",
-        "_late_from",
+        "_expected_at",
+        "_is_size_known",
         "_received",
         "begun_at",
         "is_admitted",
         "is_overtaken",
-        "left",
         "pace",
+        "remaining",
         "size",
     )
 
     def __init__(self, traffic_class: str, request: AdmissionRequest, on_admitted, expires_at: float, size: int | None):
         super().__init__(traffic_class, request, on_admitted, expires_at)
-        self._has_size = size is not None
-        self.size = self.left = _UNKNOWN_SIZE if size is None else size
+        self._is_size_known = size is not None
+        self.size = self.remaining = _DEFAULT_SIZE if size is None else size
         self.is_admitted = False
         self.begun_at: float | None = None
         self.is_overtaken = False
         self.pace = float("inf")
         self._received = 0
-        self._late_from = 0.0
+        self._expected_at = 0.0
 
     def __repr__(self) -> str:
-        return f"<BodyTransfer {self.left}/{self.size} is_admitted={self.is_admitted} {self.request!r}>"
+        return f"<BodyTransfer {self.remaining}/{self.size} is_admitted={self.is_admitted} {self.request!r}>"
 
     @property
     def is_begun(self) -> bool:
-        """Whether its sender was asked to send it."""
+        """Whether the sender was asked for the body."""
         return self.begun_at is not None
 
     @property
-    def has_come(self) -> bool:
-        """Whether some of it has come."""
+    def has_received_any(self) -> bool:
+        """Whether bytes of the body have arrived."""
         return self._received > 0
 
     @property
     def is_received(self) -> bool:
-        """Whether all of it is known to have come."""
-        return self._has_size and self.left == 0
+        """Whether the whole body is known to have arrived."""
+        return self._is_size_known and self.remaining == 0
 
     def admit(self, now: float) -> None:
-        """Let it come."""
+        """Allow the sender to be asked for the body."""
         self.is_admitted = True
-        self._late_from = now + QUEUE_TIME
+        self._expected_at = now + QUEUE_TIME
 
     def begin(self, now: float, wait: float) -> None:
-        """Note that its sender is asked now, and that it should begin to come within `wait` seconds."""
+        """Note that the sender is asked for the body, whose first bytes are expected within `wait` seconds."""
         self.begun_at = now
-        self._late_from = now + wait + QUEUE_TIME
+        self._expected_at = now + wait + QUEUE_TIME
 
     def note(self, size: int) -> None:
-        """Take in that bytes of it have come; where its size isn't known as much may follow."""
+        """Record that `size` bytes have arrived; with an unknown size, `remaining` stays as it is."""
         self._received += size
-        if self._has_size:
-            self.left = max(0, self.left - size)
+        if self._is_size_known:
+            self.remaining = max(0, self.remaining - size)
 
     def is_slow(self, now: float, rate: float) -> bool:
-        """Tell whether it comes at less than half of a rate, from when it should begin to come."""
-        late = now - self._late_from
-        return late >= 0 and self._received <= _SLOW_PART * min(rate, self.pace) * late
+        """Tell whether the body arrives at less than half of a rate, or of its pace if that is lower.
 
-    def count(self, now: float) -> float:
-        """Return the bytes by which it counts as on its way.
+        Parameters
+        ----------
+        now : float
+        rate : float
+            Bytes per second, counted from the time at which the first bytes were expected.
+        """
+        overdue = now - self._expected_at
+        return overdue >= 0 and self._received <= _SLOW_FRACTION * min(rate, self.pace) * overdue
+
+    def bytes_in_flight(self, now: float) -> float:
+        """Return the bytes that count as in flight.
 
-        However late it is, it may stand on the link or come onto it at any moment. One
-        whose request still waits for a slot holds up no others: it counts for a moment
-        only until its sender is asked.
+        However late the remaining bytes of a body are, they may already be on the link or
+        enter it at any moment, so all of them count. Two kinds of bodies count less:
+        overtaken bodies, whose senders are slow, and bodies whose requests still wait for
+        a slot. The latter count for `QUEUE_TIME` after admission, and then not until their
+        senders are asked, so that they don't delay others.
         """
         if self.is_overtaken:
             own_rate = self._received / max(now - self.begun_at, QUEUE_TIME)
-            return min(self.left, _PROBE_PART * own_rate * QUEUE_TIME)
-        if not self.is_begun and now >= self._late_from:
+            return min(self.remaining, _OVERTAKEN_FRACTION * own_rate * QUEUE_TIME)
+        if not self.is_begun and now >= self._expected_at:
             return 0.0
-        return self.left
+        return self.remaining
--- a/packages/lanedock/lanedock/limits/calls.py
+++ b/packages/lanedock/lanedock/limits/calls.py
@@ -1,30 +1,30 @@
 # SPDX-License-Identifier: BSD-3-Clause
-"""Which kinds of requests are calls that other services make, by who sends them."""
+"""Recognition of requests that other services' applications make, by where they start."""
 
 __all__ = ["CallKinds"]
 
-# Requests of a kind that have to come from elsewhere, and none from the own service,
-# for it to be one that only other services make. Callers sit beside the upstreams of
-# all services: where a tenth of them sits beside the own one's, one kind in 850 that
-# callers make directly passes for a call.
-_KNOWN = 64
-# Kinds of requests that are kept; a bound on memory, not a tuning.
+# Requests of a kind that have to start beside other services, with none beside the own
+# service, before the kind counts as a call. Callers run beside the upstreams of all services.
+# If a tenth of them run beside the own service's upstreams, one in 850 kinds that they send
+# directly is wrongly taken for a call.
+_MIN_REQUESTS = 64
+# Kinds of requests that are kept, to bound the memory used.
 _MAX_KINDS = 1024
 
 
 class CallKinds:
-    """Recognizes kinds of requests that only other services' applications make. Pure.
+    """Recognizes the kinds of requests that only other services' applications make.
 
-    Callers send all kinds of requests from beside the upstreams of every service,
-    the own one among them. A call that another service's application makes comes
-    from beside that application only.
+    Does no I/O and reads no clock. Callers send all kinds of requests from beside the
+    upstreams of every service, including the own service. A call that another service's
+    application makes starts only beside that application.
     """
 
     def __init__(self):
-        self._foreign: dict[str, int] = {}
+        self._foreign_counts: dict[str, int] = {}
 
     def __repr__(self) -> str:
-        return f"<CallKinds known={sum(count >= _KNOWN for count in self._foreign.values())}>"
+        return f"<CallKinds known={sum(count >= _MIN_REQUESTS for count in self._foreign_counts.values())}>"
 
     def note(self, kind: str, is_from_own_service: bool) -> bool:
         """Count a request.
@@ -32,24 +32,25 @@
         Parameters
         ----------
         kind : str
-            Such as its route's name.
+            Kind of the request, such as its route's name.
         is_from_own_service : bool
-            Whether it started beside an upstream of the service that it is for.
+            Whether the request started beside an upstream of the service that receives it.
 
         Returns
         -------
         bool
-            Whether its kind is a call.
+            Whether requests of this kind are calls.
         """
         if is_from_own_service:
-            # For good, as far as the memory reaches: the next ones count from below.
-            self._foreign[kind] = -_KNOWN
+            # The count restarts below 0, so the kind needs twice as many requests from other services
+            # as a new kind to count as a call.
+            self._foreign_counts[kind] = -_MIN_REQUESTS
             return False
-        count = self._foreign.get(kind)
+        count = self._foreign_counts.get(kind)
         if count is None:
-            if len(self._foreign) >= _MAX_KINDS:
-                self._foreign.clear()
+            if len(self._foreign_counts) >= _MAX_KINDS:
+                self._foreign_counts.clear()
             count = 0
-        if count < _KNOWN:
-            self._foreign[kind] = count + 1
-        return count >= _KNOWN
+        if count < _MIN_REQUESTS:
+            self._foreign_counts[kind] = count + 1
+        return count >= _MIN_REQUESTS
--- a/packages/lanedock/lanedock/limits/first_attempts.py
+++ b/packages/lanedock/lanedock/limits/first_attempts.py
@@ -1,29 +1,29 @@
 # SPDX-License-Identifier: BSD-3-Clause
-"""The time since callers' first attempts, estimated from the deadlines they have left.
+"""Estimates of the time since a caller's first attempt, from the timeouts of its requests.
 
-A caller whose request was refused retries with what is left of its time. An
-answer to it is worth less than one to a request that was just made, and where
-there is not room for both, the new one goes first; otherwise each retried request
-makes another one late.
+A caller whose request was refused retries with the rest of its timeout. An answer to the
+retry is worth less than an answer to a new request, so the new request goes first if there
+isn't room for both; otherwise each retry would make another request late.
 """
 
 __all__ = ["FirstAttempts"]
 
-# Deadlines that are kept for a kind of request; a bound on memory, not a tuning.
-_MAX_VALUES = 64
-# Requests of a kind after which counts are halved, so that old ones fade. No unit.
-_HALVING = 512
-# Part of a kind's requests that have to have the same deadline for it to be one that
-# callers begin with. What is left of it after a refusal differs each time. No unit.
-_FREQUENT = 1 / 16
-# Requests that have to have it at the least, so that no first one counts by itself.
-_FREQUENT_MIN = 3
-# Kinds of requests that are kept; a bound on memory, not a tuning.
+# Distinct timeouts that are kept for a kind of request, to bound the memory used.
+_MAX_TIMEOUTS = 64
+# Requests of a kind after which all its counts are halved, so that former requests lose weight.
+_HALVING_COUNT = 512
+# Fraction of a kind's requests that need the same timeout for it to count as an initial one.
+# The rest of a timeout after a refusal differs each time, so it isn't that frequent.
+_FREQUENT_FRACTION = 1 / 16
+# Requests that need the same timeout in any case, so that a single early request doesn't
+# make its timeout an initial one.
+_MIN_FREQUENT_COUNT = 3
+# Kinds of requests that are kept, to bound the memory used.
 _MAX_KINDS = 1024
 
 
-class _Times:
-    """The deadlines that requests of one kind had, in milliseconds from their arrival."""
+class _TimeoutCounts:
+    """Counts of the timeouts of one kind's requests, in milliseconds from their arrival."""
 
     __slots__ = ("counts", "total")
 
@@ -31,57 +31,63 @@
         self.counts: dict[int, int] = {}
         self.total = 0
 
-    def note(self, wait_ms: int) -> None:
-        """Count one."""
+    def note(self, timeout_ms: int) -> None:
+        """Count a request's timeout."""
         self.total += 1
-        self.counts[wait_ms] = self.counts.get(wait_ms, 0) + 1
-        if self.total >= _HALVING or len(self.counts) > _MAX_VALUES:
-            self._fade()
+        self.counts[timeout_ms] = self.counts.get(timeout_ms, 0) + 1
+        if self.total >= _HALVING_COUNT or len(self.counts) > _MAX_TIMEOUTS:
+            self._halve()
 
-    def _fade(self) -> None:
-        self.counts = {wait: count // 2 for wait, count in self.counts.items() if count > 1}
+    def _halve(self) -> None:
+        self.counts = {timeout: count // 2 for timeout, count in self.counts.items() if count > 1}
         self.total //= 2
 
-    def first_at_least(self, wait_ms: int) -> int | None:
-        """Return the least deadline that callers begin with and that is no less than one received."""
-        least = max(_FREQUENT_MIN, self.total * _FREQUENT)
-        return min((wait for wait, count in self.counts.items() if wait >= wait_ms and count >= least), default=None)
+    def find_initial(self, timeout_ms: int) -> int | None:
+        """Return the least initial timeout that is no less than a given one; None if there is none."""
+        least = max(_MIN_FREQUENT_COUNT, self.total * _FREQUENT_FRACTION)
+        return min(
+            (timeout for timeout, count in self.counts.items() if timeout >= timeout_ms and count >= least),
+            default=None,
+        )
 
 
 class FirstAttempts:
-    """Estimates the time since the first attempt, by kind of request. Pure."""
+    """Estimates the time since the first attempt, by kind of request.
+
+    Does no I/O and reads no clock.
+    """
 
     def __init__(self):
-        self._times: dict[str, _Times] = {}
+        self._by_kind: dict[str, _TimeoutCounts] = {}
 
     def __repr__(self) -> str:
-        return f"<FirstAttempts kinds={len(self._times)}>"
+        return f"<FirstAttempts kinds={len(self._by_kind)}>"
 
-    def note(self, kind: str, wait_ms: int | None) -> int:
-        """Count a request, and return the time since its first attempt.
+    def note(self, kind: str, timeout_ms: int | None) -> int:
+        """Count a request, and estimate the time since its first attempt.
 
         Parameters
         ----------
         kind : str
-            Of the request, such as its route's name.
-        wait_ms : int or None
-            Time for which its caller waits, in milliseconds.
+            Kind of the request, such as its route's name.
+        timeout_ms : int or None
+            Time for which the caller waits for the answer, in milliseconds; None if unknown.
 
         Returns
         -------
         int
-            Milliseconds since its caller made it first; 0 where nothing shows
-            that it did so before.
+            Milliseconds since the caller's first attempt; 0 if nothing indicates an
+            earlier one.
         """
-        if wait_ms is None:
+        if timeout_ms is None:
             return 0
-        times = self._times.get(kind)
-        if times is None:
-            if len(self._times) >= _MAX_KINDS:
-                self._times.clear()
-            times = self._times[kind] = _Times()
-        times.note(wait_ms)
-        first = times.first_at_least(wait_ms)
-        if first is None or first == wait_ms:
+        timeouts = self._by_kind.get(kind)
+        if timeouts is None:
+            if len(self._by_kind) >= _MAX_KINDS:
+                self._by_kind.clear()
+            timeouts = self._by_kind[kind] = _TimeoutCounts()
+        timeouts.note(timeout_ms)
+        initial = timeouts.find_initial(timeout_ms)
+        if initial is None or initial == timeout_ms:
             return 0
-        return first - wait_ms
+        return initial - timeout_ms
--- a/packages/lanedock/lanedock/limits/tests/test_bodies.py
+++ b/packages/lanedock/lanedock/limits/tests/test_bodies.py
@@ -243,7 +243,7 @@
     assert admitted_at[0] == pytest.approx(ROUND_TRIP + QUEUE_TIME, abs=QUEUE_TIME / 5)
     assert gaps[:4] == pytest.approx([0.1, 0.4, 1.6, 2.0], abs=QUEUE_TIME / 5)
     # What they hold up doesn't become less meanwhile.
-    assert bodies.outstanding == sum(transfer.left for transfer in (*stuck, *waiting) if transfer.is_admitted)
+    assert bodies.outstanding == sum(transfer.remaining for transfer in (*stuck, *waiting) if transfer.is_admitted)
 
 
 def test_bodies_that_do_not_come_hold_up_no_others_once_one_has_come_past_them():
--- a/packages/lanedock/lanedock/limits/tests/test_slots.py
+++ b/packages/lanedock/lanedock/limits/tests/test_slots.py
@@ -112,7 +112,7 @@
 
 
 def test_retries_are_a_share_of_first_tries():
-    budget = SavingBudget(share=0.1, most=2)
+    budget = SavingBudget(share=0.1, max_balance=2)
     assert [budget.spend(0.0) for _ in range(3)] == [True, True, False]
     for _ in range(11):
         budget.note_first_try(0.0)
