--- a/packages/lanedock/lanedock/limits/bodies.py
+++ b/packages/lanedock/lanedock/limits/bodies.py
@@ -140,16 +140,16 @@
         if is_alone:
             self._admit(transfer, now)
             return transfer
-        ahead = in_flight + sum(other.size for other in self._queue.list_ahead(traffic_class, request))
+        bytes_ahead = in_flight + sum(other.size for other in self._queue.list_ahead(traffic_class, request))
         # Before a rate has been observed, only the link's own rate bounds which bodies can be in time.
         seconds_per_byte = 1 / (self._link_rate if self.rate is None else rate)
-        bytes_ahead = self._bytes_ahead(transfer.size, now)
-        can_be_in_time = now + (bytes_ahead + transfer.size) * seconds_per_byte <= request.start_by
+        concurrent_bytes = self._concurrent_bytes(transfer.size, now)
+        can_be_in_time = now + (concurrent_bytes + transfer.size) * seconds_per_byte <= request.start_by
         if not self.waiting and can_be_in_time and self._may_admit(now):
             self._admit(transfer, now)
             return transfer
-        arrival = now + (ahead + transfer.size) * seconds_per_byte
-        wait = max(0.0, ahead - self._byte_limit()) * seconds_per_byte
+        arrival = now + (bytes_ahead + transfer.size) * seconds_per_byte
+        wait = max(0.0, bytes_ahead - self._byte_limit()) * seconds_per_byte
         would_be_late = now + _WAIT_MARGIN * wait > expires_at or arrival > request.target_or_deadline
         if would_be_late or not (self._queue.has_room(traffic_class) or self._queue.evict_for(traffic_class, request)):
             return Refused(ErrorCode.OVERLOADED, wait, "link")
@@ -302,7 +302,7 @@
     def _bytes_in_flight(self, now: float) -> float:
         return sum(transfer.bytes_in_flight(now) for transfer in self._admitted)
 
-    def _bytes_ahead(self, size: int, now: float) -> float:
+    def _concurrent_bytes(self, size: int, now: float) -> float:
         """Return the bytes in flight that arrive before the end of a body of `size` bytes admitted now.
 
         Concurrent bodies share the link, so at most `size` bytes of each arrive meanwhile. If
--- a/packages/lanedock/lanedock/limits/tests/link.py
+++ b/packages/lanedock/lanedock/limits/tests/link.py
@@ -1,5 +1,5 @@
 # SPDX-License-Identifier: BSD-3-Clause
-"""A link to a daemon in virtual time, for tests of the limit on bodies."""
+"""A simulated link to a daemon in virtual time, for tests of the limit on bodies."""
 
 import heapq
 from itertools import count
@@ -11,13 +11,14 @@
 
 CLASSES = {"urgent": TrafficClass("urgent", 0.5, 0), "bulk": TrafficClass("bulk", 0.5, 5)}
 FAR = 1000.0
-# Bytes a second: of a link of 3.9 Mbit/s, and of one of 1 Gbit/s.
+# Rates of links of 3.9 Mbit/s and 1 Gbit/s, in bytes per second.
 NARROW, WIDE = 487_500.0, 125_000_000.0
-# Longest time that a body, which was asked for, may take to begin to come, in seconds.
+# Time from asking for a body until its first bytes are put onto the link, in seconds.
 ROUND_TRIP = 0.002
+# Sizes, in bytes.
 PACKET = 1460
 BODY = 60_000
-# Seconds of what other traffic brings at once.
+# Interval at which other traffic is put onto the link, in seconds.
 TRAFFIC_STEP = 0.01
 
 
@@ -26,20 +27,24 @@
 
     Attributes
     ----------
-    waits : list of float
-        How long a short message would have waited behind bodies, at each body's coming
-        onto the link, in seconds.
+    message_waits : list of float
+        Time that a short message would have waited behind bodies, in seconds; one item for
+        each part of a body that is put onto the link.
     received_at : list of float
-        When each body had come whole.
+        Times at which bodies had arrived completely, in seconds.
     sizes : list of int
-        Of those bodies, in bytes.
-    taken : list of float
-        How long after their requests they had come, in seconds.
-    standing : int
-        Bytes of bodies that stand on the link.
-    standings : list of tuple of (float, float)
-        When a body's bytes were put onto the link, and how long it takes to bring all
-        that stood there then, both in seconds.
+        Sizes of these bodies, in bytes.
+    durations : list of float
+        Times from the requests for these bodies to their complete arrival, in seconds.
+    refused : int
+        Bodies that were refused.
+    queued : int
+        Bytes of bodies that are queued on the link.
+    queue_times : list of tuple of (float, float)
+        Times at which a body's bytes were put onto the link, and times that the link needs
+        for all bytes queued then, both in seconds.
+    rate : float
+        Bytes per second.
     """
 
     def __init__(
@@ -47,22 +52,22 @@
     ):
         self.bodies = bodies
         self.now = 0.0
-        self.waits: list[float] = []
+        self.message_waits: list[float] = []
         self.received_at: list[float] = []
         self.sizes: list[int] = []
-        self.taken: list[float] = []
+        self.durations: list[float] = []
         self.refused = 0
-        self.standing = 0
-        self.standings: list[tuple[float, float]] = []
+        self.queued = 0
+        self.queue_times: list[tuple[float, float]] = []
         self.rate = rate
         self._round_trip = round_trip
         self._sender_rate = sender_rate
         self._free_at = 0.0
         self._events: list = []
-        self._number = count()
+        self._sequence = count()
 
-    def at(self, moment: float, act, *args) -> None:
-        heapq.heappush(self._events, (moment, next(self._number), act, args))
+    def schedule(self, time: float, action, *args) -> None:
+        heapq.heappush(self._events, (time, next(self._sequence), action, args))
 
     def upload(
         self,
@@ -73,23 +78,23 @@
         sender_rate: float | None = None,
         round_trip: float | None = None,
     ) -> None:
-        """Ask for a body, from a sender of its own; one without a rate (0) sends nothing."""
+        """Ask for a body from a new sender; a sender with a rate of 0 sends nothing."""
         request = AdmissionRequest(deadline, target)
         sender_rate = self._sender_rate if sender_rate is None else sender_rate
         round_trip = self._round_trip if round_trip is None else round_trip
-        made, asked_at = [], self.now
+        transfers, asked_at = [], self.now
         transfer = self.bodies.acquire(
             traffic_class,
             request,
             size,
             target,
             self.now,
-            lambda: self._begin(made[0], size, asked_at, sender_rate, round_trip),
+            lambda: self._begin(transfers[0], size, asked_at, sender_rate, round_trip),
         )
         if isinstance(transfer, Refused):
             self.refused += 1
             return
-        made.append(transfer)
+        transfers.append(transfer)
         if transfer.is_admitted:
             self._begin(transfer, size, asked_at, sender_rate, round_trip)
 
@@ -97,44 +102,44 @@
         self.bodies.begin(transfer, self.now)
         sender_rate = min(sender_rate, transfer.pace)
         if sender_rate:
-            self.at(self.now + round_trip, self._send, transfer, size, asked_at, sender_rate)
+            self.schedule(self.now + round_trip, self._send, transfer, size, asked_at, sender_rate)
 
-    def _send(self, transfer, left: int, asked_at: float, sender_rate: float) -> None:
-        """Put a part of a body onto the link, and the next one once the sender has it."""
-        part = min(left, PACKET)
+    def _send(self, transfer, remaining: int, asked_at: float, sender_rate: float) -> None:
+        """Put a part of a body onto the link, and schedule the next part at the sender's rate."""
+        part = min(remaining, PACKET)
         if sender_rate == float("inf"):
-            part = left
-        self.standing += part
-        self.standings.append((self.now, self.standing / self.rate))
+            part = remaining
+        self.queued += part
+        self.queue_times.append((self.now, self.queued / self.rate))
         self._free_at = max(self._free_at, self.now)
-        self.waits.append(self._free_at - self.now)
+        self.message_waits.append(self._free_at - self.now)
         for start in range(0, part, PACKET):
             size = min(PACKET, part - start)
             self._free_at += size / self.rate
-            self.at(self._free_at, self._receive, transfer, size, asked_at)
-        if left > part:
-            self.at(self.now + part / sender_rate, self._send, transfer, left - part, asked_at, sender_rate)
+            self.schedule(self._free_at, self._receive, transfer, size, asked_at)
+        if remaining > part:
+            self.schedule(self.now + part / sender_rate, self._send, transfer, remaining - part, asked_at, sender_rate)
 
     def _receive(self, transfer, size: int, asked_at: float) -> None:
-        self.standing -= size
+        self.queued -= size
         self.bodies.note(transfer, size, self.now)
         if transfer.is_received:
             self.received_at.append(self.now)
             self.sizes.append(transfer.size)
-            self.taken.append(self.now - asked_at)
+            self.durations.append(self.now - asked_at)
 
-    def carry(self, part: float, since: float, until: float) -> None:
-        """Let other traffic take a part of the link from one moment to another."""
+    def add_traffic(self, fraction: float, since: float, until: float) -> None:
+        """Let other traffic take a fraction of the link from one time to another."""
         steps = round((until - since) / TRAFFIC_STEP)
         for step in range(steps):
-            self.at(since + step * TRAFFIC_STEP, self._take, part * TRAFFIC_STEP)
+            self.schedule(since + step * TRAFFIC_STEP, self._occupy, fraction * TRAFFIC_STEP)
 
-    def _take(self, seconds: float) -> None:
+    def _occupy(self, seconds: float) -> None:
         self._free_at = max(self._free_at, self.now) + seconds
 
-    def cut(self, since: float, until: float) -> None:
-        """Let nothing come through from one moment to another; then all comes that was sent."""
-        self.at(since, self._block, until)
+    def interrupt(self, since: float, until: float) -> None:
+        """Interrupt the link from one time to another; what was sent meanwhile is then delivered."""
+        self.schedule(since, self._block, until)
 
     def _block(self, until: float) -> None:
         self._free_at = max(self._free_at, until)
@@ -142,9 +147,9 @@
     def run(self, until: float = FAR) -> None:
         ticks = 0
         while self._events and self._events[0][0] <= until:
-            self.now, _, act, args = heapq.heappop(self._events)
-            act(*args)
-            # Whoever waits looks again from time to time.
+            self.now, _, action, args = heapq.heappop(self._events)
+            action(*args)
+            # Daemons call `update` at this interval while bodies wait.
             while ticks * QUEUE_TIME < self.now:
                 ticks += 1
                 self.bodies.update(self.now)
--- a/packages/lanedock/lanedock/limits/tests/test_rate.py
+++ b/packages/lanedock/lanedock/limits/tests/test_rate.py
@@ -16,7 +16,7 @@
 WINDOW = 4.0
 
 
-def _limited(rate: float, slots: int = 10) -> SlotLimiter:
+def _make_limited(rate: float, slots: int = 10) -> SlotLimiter:
     limiter = SlotLimiter(slots, 20, CLASSES)
     limiter.rate.configure(rate, 0.0)
     return limiter
@@ -26,8 +26,8 @@
     return limiter.acquire(name, AdmissionRequest(FAR, target), now, on_admitted)
 
 
-def _most(times: list[float]) -> int:
-    """Return the most of some sorted times in any window."""
+def _max_per_window(times: list[float]) -> int:
+    """Return the largest number of the sorted times in any window."""
     return max((sum(first <= time < first + WINDOW for time in times) for first in times), default=0)
 
 
@@ -36,7 +36,7 @@
     rate=st.floats(0.2, 200.0),
     gaps=st.lists(st.floats(0.0, 2.0), max_size=120),
 )
-def test_no_window_holds_more_than_the_rate_and_its_burst(rate, gaps):
+def test_no_window_exceeds_the_rate_and_its_burst(rate, gaps):
     limiter = RateLimiter()
     limiter.configure(rate, 0.0)
     now, admitted = 0.0, []
@@ -45,7 +45,7 @@
         if not limiter.wait(now):
             limiter.admit()
             admitted.append(now)
-    assert _most(admitted) <= 1.25 * rate * WINDOW + 2
+    assert _max_per_window(admitted) <= 1.25 * rate * WINDOW + 2
 
 
 @settings(deadline=None, derandomize=True)
@@ -53,12 +53,12 @@
     rate=st.floats(0.5, 50.0),
     delays=st.lists(st.floats(0.0, 3.0), min_size=1, max_size=200),
 )
-# All that was admitted in six seconds is at hand at once.
+# The bodies of all requests admitted in six seconds become available at once.
 @example(rate=20.0, delays=[6.0 - number / 20.0 for number in range(120)] + [0.0] * 80)
-def test_requests_whose_bodies_are_late_do_not_arrive_together(rate, delays):
+def test_requests_with_late_bodies_do_not_arrive_together(rate, delays):
     limiter = RateLimiter()
     limiter.configure(rate, 0.0)
-    # Admitted one after the other at the rate; each is at hand after its own delay.
+    # Requests are admitted one after another at the rate; each body is available after its own delay.
     ready = sorted(number / rate + delay for number, delay in enumerate(delays))
     arrived, now = [], 0.0
     for time in ready:
@@ -66,11 +66,11 @@
         while wait := limiter.arrive(now):
             now += wait
         arrived.append(now)
-    assert _most(arrived) <= 1.5 * rate * WINDOW + 5
+    assert _max_per_window(arrived) <= 1.5 * rate * WINDOW + 5
 
 
 @pytest.mark.parametrize("rate", [1.0, 1.5, 16.0, 100.0])
-def test_what_is_allowed_is_admitted_where_more_is_asked_for(rate):
+def test_the_whole_rate_is_admitted_under_overload(rate):
     limiter = RateLimiter()
     limiter.configure(rate, 0.0)
     admitted = 0
@@ -81,7 +81,7 @@
     assert admitted >= 0.9 * rate * 20
 
 
-def test_a_limit_that_rises_or_ends_holds_no_longer():
+def test_a_limit_that_is_raised_or_removed_no_longer_applies():
     limiter = RateLimiter()
     limiter.configure(1.0, 0.0)
     limiter.admit()
@@ -92,9 +92,9 @@
     assert limiter.wait(0.0) == 0.0 and limiter.next_turn(0.0, 5) == 0.0
 
 
-def test_a_limit_of_zero_lets_nothing_through():
-    limiter = _limited(0.0)
-    # One may have been on its way as the limit came.
+def test_a_limit_of_zero_refuses_requests_with_finite_delays():
+    limiter = _make_limited(0.0)
+    # One request may have been in flight when the limit was set.
     _ask(limiter, 0.0)
     refused = _ask(limiter, 50.0)
     assert isinstance(refused, Refused) and refused.code is ErrorCode.RATE_LIMITED
@@ -102,8 +102,8 @@
     assert math.isfinite(limiter.next_turn(50.0))
 
 
-def test_a_request_waits_for_the_rate_where_it_is_still_in_time():
-    limiter = _limited(10.0)
+def test_a_request_waits_for_a_token_if_it_can_still_be_in_time():
+    limiter = _make_limited(10.0)
     assert _ask(limiter, 0.0) is None
     admitted = []
     queued = _ask(limiter, 0.0, target=5.0, on_admitted=lambda: admitted.append(1))
@@ -114,8 +114,8 @@
     assert admitted
 
 
-def test_a_request_that_would_wait_too_long_for_the_rate_is_refused_at_once():
-    limiter = _limited(1.0)
+def test_a_request_that_would_wait_too_long_for_a_token_is_refused_at_once():
+    limiter = _make_limited(1.0)
     assert _ask(limiter, 0.0) is None
     refused = _ask(limiter, 0.0, target=0.4)
     assert isinstance(refused, Refused)
@@ -124,7 +124,7 @@
 
 
 def test_an_urgent_request_gets_the_next_token():
-    limiter = _limited(1.0)
+    limiter = _make_limited(1.0)
     assert _ask(limiter, 0.0) is None
     order = []
     _ask(limiter, 0.0, on_admitted=lambda: order.append("browse"))
@@ -133,8 +133,8 @@
     assert order == ["order"]
 
 
-def test_a_token_that_has_come_is_not_taken_from_who_waits_for_it():
-    limiter = _limited(1.0)
+def test_a_new_token_goes_to_the_queued_request_first():
+    limiter = _make_limited(1.0)
     assert _ask(limiter, 0.0) is None
     admitted = []
     _ask(limiter, 0.0, on_admitted=lambda: admitted.append(1))
@@ -142,15 +142,15 @@
     assert admitted
 
 
-def test_a_token_comes_back_where_nothing_was_passed_on():
-    limiter = _limited(1.0)
+def test_a_token_is_refunded_if_the_request_was_not_sent():
+    limiter = _make_limited(1.0)
     assert _ask(limiter, 0.0) is None
     limiter.release("browse", None, 0.0)
     assert _ask(limiter, 0.0) is None
 
 
-def test_a_refusal_for_slots_is_no_refusal_for_the_rate():
-    limiter = _limited(1000.0, slots=1)
+def test_a_refusal_for_lack_of_slots_does_not_name_the_rate_limit():
+    limiter = _make_limited(1000.0, slots=1)
     assert _ask(limiter, 0.0) is None
     limiter.release("browse", 1.0, 0.0)
     assert _ask(limiter, 1.0) is None
--- a/packages/lanedock/lanedock/limits/tests/test_slots.py
+++ b/packages/lanedock/lanedock/limits/tests/test_slots.py
@@ -1,5 +1,5 @@
 # SPDX-License-Identifier: BSD-3-Clause
-"""Tests of the slot limiter, the retry budget and admission."""
+"""Tests of the slot limiter, the retry budgets, first attempts and admission."""
 
 from random import Random
 
@@ -30,38 +30,38 @@
     return SlotLimiter(slots, queue, CLASSES)
 
 
-def _ask(limiter, name, deadline, now, on_admitted, target_time=None, kind="", **more):
-    return limiter.acquire(name, AdmissionRequest(deadline, target_time, kind, **more), now, on_admitted)
+def _ask(limiter, name, deadline, now, on_admitted, target_time=None, kind="", **options):
+    return limiter.acquire(name, AdmissionRequest(deadline, target_time, kind, **options), now, on_admitted)
 
 
-def _warm(limiter, name, duration=0.005):
-    """Let a request end, so that the limiter knows how long one takes."""
+def _end_one(limiter, name, duration=0.005):
+    """Let a request end, so that the limiter has an estimate of the service time."""
     _ask(limiter, name, FAR, 0.0, None)
     limiter.release(name, duration, 0.0)
 
 
 def _fill(limiter, name, now=0.0):
-    """Take slots until one is refused; returns how many there were."""
+    """Take slots until a request gets none; return the number of slots taken."""
     count = 0
     while _ask(limiter, name, FAR, now, lambda: None) is None:
         count += 1
     return count
 
 
-def test_one_short_class_alone_may_use_all_slots():
+def test_a_class_of_short_requests_alone_may_use_all_slots():
     assert _fill(_limiter(), "browse") == 10
 
 
-def test_a_class_of_long_requests_never_borrows_shares():
+def test_a_class_of_long_requests_uses_no_unused_shares_of_others():
     limiter = _limiter()
     _ask(limiter, "photo", FAR, 0.0, None)
     limiter.release("photo", 30.0, 0.0)
-    # 10 slots less 4 kept for orders and 3 for browsing.
+    # 10 slots less 4 reserved for orders and 3 for browsing.
     assert _fill(limiter, "photo") == 3
     assert _fill(limiter, "order") >= 4
 
 
-def test_what_others_used_lately_is_kept_for_them():
+def test_slots_that_another_class_used_recently_are_reserved_for_it():
     limiter = _limiter()
     for _ in range(2):
         _ask(limiter, "order", FAR, 0.0, None)
@@ -71,7 +71,7 @@
     assert _ask(limiter, "order", FAR, 0.1, None) is None
 
 
-def test_queued_requests_are_served_by_priority_and_then_by_deadline():
+def test_queued_requests_are_admitted_by_priority_and_then_by_deadline():
     limiter = _limiter(slots=1)
     served = []
     _ask(limiter, "browse", FAR, 0.0, None)
@@ -131,17 +131,19 @@
             if rng.random() < 0.5:
                 budget.note_first_try(now)
                 tries.append(now)
-            # Everybody retries as often as it may.
+            # Every daemon makes as many retries as its budget allows.
             while budget.spend(now):
                 retries.append(now)
     assert retries
     for end in range(30):
         spent = sum(end - window < at <= end for at in retries)
-        paid = max(sum(end - window - back < at <= end - back for at in tries) for back in (0, window / 2, window))
+        paid = max(
+            sum(end - window - offset < at <= end - offset for at in tries) for offset in (0, window / 2, window)
+        )
         assert spent <= share * paid + slack
 
 
-def test_everybody_in_a_storm_is_admitted_at_the_rate():
+def test_all_requests_of_a_storm_are_admitted_at_the_rate():
     admission = Admission(rate=100, burst=5)
     waiting = [(0.0, number) for number in range(200)]
     admitted = {}
@@ -150,7 +152,7 @@
         now, number = waiting.pop(0)
         wait = admission.ask(now)
         if wait:
-            # A little late, as daemons are asked to be.
+            # Daemons return slightly after the delay.
             waiting.append((now + wait * 1.05, number))
         else:
             admitted[number] = now
@@ -158,14 +160,14 @@
     assert max(admitted.values()) < 4
 
 
-def test_a_storm_is_told_turns_that_do_not_collide():
+def test_the_retry_delays_of_a_storm_are_consecutive():
     admission = Admission(rate=10, burst=2)
     waits = [admission.ask(5.0) for _ in range(6)]
     assert waits[:2] == [0.0, 0.0]
     assert waits[2:] == pytest.approx([0.1, 0.2, 0.3, 0.4])
 
 
-def test_what_would_come_later_than_wanted_is_refused_while_it_can_go_elsewhere():
+def test_a_request_that_would_wait_past_its_target_time_is_refused():
     limiter = _limiter(slots=1, queue=100)
     for number in range(50):
         _ask(limiter, "order", FAR, number, None)
@@ -178,93 +180,93 @@
     assert isinstance(_ask(limiter, "order", FAR, 50.0, lambda: None, None), QueuedRequest)
 
 
-def test_a_short_call_finds_room_in_a_queue_full_of_long_requests():
-    # Found on the platform at 1.5 times the usual load: calls that requests in
-    # progress waited for were refused, and half of their callers' work was lost.
+def test_a_short_call_evicts_a_long_request_from_a_full_queue():
+    # Guards against refusing calls for which requests in progress wait: at 1.5 times the usual
+    # load of the platform, such refusals lost half of the work of the waiting requests.
     limiter = _limiter(slots=1, queue=3)
-    _warm(limiter, "order")
+    _end_one(limiter, "order")
     _ask(limiter, "order", FAR, 0.0, None)
-    woken = []
+    notified = []
     queued = [
-        _ask(limiter, "order", FAR, 0.0, lambda number=number: woken.append(number), 10.0 + number)
+        _ask(limiter, "order", FAR, 0.0, lambda number=number: notified.append(number), 10.0 + number)
         for number in range(3)
     ]
-    call = _ask(limiter, "order", FAR, 0.0, lambda: woken.append("call"), 1.0)
+    call = _ask(limiter, "order", FAR, 0.0, lambda: notified.append("call"), 1.0)
     assert isinstance(call, QueuedRequest)
-    assert [one.is_evicted for one in queued] == [False, False, True]
-    assert woken == [2]
+    assert [request.is_evicted for request in queued] == [False, False, True]
+    assert notified == [2]
     limiter.release("order", 0.01, 0.1)
-    assert woken == [2, "call"]
-    # One that is wanted later than all others makes nobody go.
+    assert notified == [2, "call"]
+    # A request whose target time is later than all others evicts none.
     _ask(limiter, "order", FAR, 0.1, lambda: None, 10.5)
     assert isinstance(_ask(limiter, "order", FAR, 0.1, None, 50.0), Refused)
 
 
-def test_a_queued_request_expires_when_a_slot_would_come_too_late_for_it():
+def test_a_queued_request_expires_when_a_slot_would_be_free_too_late():
     limiter = SlotLimiter(1, 10, {})
     for _ in range(50):
         _ask(limiter, "c", FAR, 0.0, None)
         limiter.release("c", 0.2, 0.0, "read")
     _ask(limiter, "c", FAR, 0.0, None)
-    # It would wait for 0.2 s, give or take, and then need 0.2 s itself.
+    # The request would wait for about 0.2 s, and then need 0.2 s itself.
     assert isinstance(_ask(limiter, "c", FAR, 0.0, lambda: None, 0.45, "read"), Refused)
     queued = _ask(limiter, "c", FAR, 0.0, lambda: None, 0.6, "read")
     assert isinstance(queued, QueuedRequest)
     assert 0.0 < queued.expires_at <= 0.4
 
 
-def test_a_request_that_takes_nearly_all_its_time_waits_for_the_next_slots():
+def test_a_request_whose_service_time_nearly_reaches_its_target_waits_for_the_next_slot():
     limiter = SlotLimiter(10, 10, {})
     for duration in [0.10, 0.30] * 50:
         _ask(limiter, "c", FAR, 0.0, None)
         limiter.release("c", duration, 0.0, "sign")
     for _ in range(10):
         _ask(limiter, "c", FAR, 0.0, None, 0.25, "sign")
-    # With 0.2 s at the mean and 0.3 s at times, of 0.25 s: the next slot comes in 20 ms.
+    # Service times have a mean of 0.2 s and reach 0.3 s, with 0.25 s left: the next slot is free in 20 ms.
     queued = _ask(limiter, "c", FAR, 0.0, lambda: None, 0.25, "sign")
     assert isinstance(queued, QueuedRequest) and 0.03 < queued.expires_at < 0.05
-    # One that is late at the mean does not wait.
+    # A request that would be late even with the mean service time does not wait.
     assert isinstance(_ask(limiter, "c", FAR, 0.0, None, 0.15, "sign"), Refused)
 
 
-def test_a_caller_that_comes_back_is_known_by_the_time_it_has_left():
-    ages = FirstAttempts()
-    # Two kinds of callers, each beginning with its own time.
+def test_a_retry_is_recognized_by_its_remaining_timeout():
+    attempts = FirstAttempts()
+    # Two kinds of callers, each with its own initial timeout.
     for number in range(600):
-        ages.note("read", 2500 if number % 3 else 1000)
-    assert ages.note("read", 2500) == ages.note("read", 1000) == 0
-    assert ages.note("read", 2321) == 179
-    assert ages.note("read", 960) == 40
-    # Longer than any before: nothing shows that it is old.
-    assert ages.note("read", 9000) == 0
-    assert ages.note("other", 960) == 0
-    assert ages.note("read", None) == 0
-
-
-def test_times_that_are_left_over_never_pass_for_one_to_begin_with():
-    ages = FirstAttempts()
+        attempts.note("read", 2500 if number % 3 else 1000)
+    assert attempts.note("read", 2500) == attempts.note("read", 1000) == 0
+    assert attempts.note("read", 2321) == 179
+    assert attempts.note("read", 960) == 40
+    # A timeout longer than any before does not indicate a retry.
+    assert attempts.note("read", 9000) == 0
+    assert attempts.note("other", 960) == 0
+    assert attempts.note("read", None) == 0
+
+
+def test_remaining_timeouts_are_never_taken_for_initial_ones():
+    attempts = FirstAttempts()
     rng = Random(7)
     wrong = 0
     for number in range(3000):
-        wrong += ages.note("read", 2500) != 0
-        # Under overload most of what comes has come before.
+        wrong += attempts.note("read", 2500) != 0
+        # Under overload most requests are retries.
         for _ in range(3):
             wait = rng.randrange(1, 2490)
-            wrong += number >= 3 and ages.note("read", wait) != 2500 - wait
+            wrong += number >= 3 and attempts.note("read", wait) != 2500 - wait
     assert wrong == 0
 
 
-def test_a_limiter_that_has_seen_nothing_yet_takes_no_more_in_than_may_be_in_time():
+def test_a_limiter_without_estimates_queues_only_what_can_be_in_time():
     limiter = SlotLimiter(12, 24, {})
-    taken = [_ask(limiter, "c", FAR, 0.0, lambda: None, 0.4) for _ in range(40)]
-    waiting = sum(isinstance(each, QueuedRequest) for each in taken)
-    # One round of the slots behind those in use; a queue of two would be late.
+    results = [_ask(limiter, "c", FAR, 0.0, lambda: None, 0.4) for _ in range(40)]
+    waiting = sum(isinstance(result, QueuedRequest) for result in results)
+    # At most one queued request for each slot; with two for each, the last would be late.
     assert 6 <= waiting <= 12
 
 
-def test_a_retry_with_time_to_its_target_goes_before_what_came_first_later():
+def test_a_retry_with_an_earlier_target_time_precedes_a_new_request():
     limiter = SlotLimiter(1, 4, {})
-    _warm(limiter, "c")
+    _end_one(limiter, "c")
     served = []
     _ask(limiter, "c", FAR, 0.0, None)
     _ask(limiter, "c", FAR, 0.0, lambda: served.append("new"), 0.2)
@@ -274,85 +276,85 @@
     assert served == ["retry", "new"]
 
 
-def test_what_is_late_already_takes_a_free_slot_and_does_not_wait_for_one():
+def test_a_late_request_takes_a_free_slot_but_does_not_wait():
     limiter = SlotLimiter(1, 10, {})
-    _warm(limiter, "c", 0.1)
+    _end_one(limiter, "c", 0.1)
     assert _ask(limiter, "c", FAR, 0.0, None, 0.0) is None
     assert isinstance(_ask(limiter, "c", FAR, 0.0, None, 0.0), Refused)
     assert isinstance(_ask(limiter, "c", FAR, 0.0, None, 0.9), QueuedRequest)
 
 
-def test_urgent_requests_find_room_in_a_queue_full_of_less_urgent_ones():
-    # Classes without shares, as priorities alone make them.
+def test_an_urgent_request_evicts_a_less_urgent_one_from_a_full_queue():
+    # Classes that have priorities but no shares.
     classes = {name: TrafficClass(name, 0.0, number) for number, name in enumerate(("sign", "read"))}
     limiter = SlotLimiter(1, 3, classes)
-    _warm(limiter, "read")
+    _end_one(limiter, "read")
     _ask(limiter, "read", FAR, 0.0, None)
     queued = [_ask(limiter, "read", FAR, 0.0, lambda: None, 1.0 + number) for number in range(3)]
     served = []
     assert isinstance(_ask(limiter, "sign", FAR, 0.0, lambda: served.append("sign"), 9.0), QueuedRequest)
-    assert [each.is_evicted for each in queued] == [False, False, True]
+    assert [request.is_evicted for request in queued] == [False, False, True]
     assert isinstance(_ask(limiter, "read", FAR, 0.0, None, 9.0), Refused)
     limiter.release("read", 0.01, 0.1)
     assert served == ["sign"]
 
 
-def test_a_class_within_its_share_of_the_queue_is_not_evicted_by_a_more_urgent_one():
+def test_a_more_urgent_class_does_not_evict_requests_within_their_share_of_the_queue():
     limiter = _limiter(slots=1)
-    _warm(limiter, "photo")
+    _end_one(limiter, "photo")
     _ask(limiter, "photo", FAR, 0.0, None)
     photos = [_ask(limiter, "photo", FAR, 0.0, lambda: None) for _ in range(2)]
     for _ in range(20):
         _ask(limiter, "order", FAR, 0.0, lambda: None)
-    assert not any(each.is_evicted for each in photos)
+    assert not any(request.is_evicted for request in photos)
 
 
-def test_whoever_can_still_be_in_time_comes_back_while_it_can():
+def test_a_request_that_can_still_be_in_time_is_retried_before_its_target_time():
     limiter = SlotLimiter(1, 0, {}, Random(1))
-    _warm(limiter, "c", 0.02)
+    _end_one(limiter, "c", 0.02)
     _ask(limiter, "c", FAR, 1.0, None)
-    # Needed are 20 ms; of the 100 ms to the target 80 are left to come back in.
-    times = [_ask(limiter, "c", FAR, 9.0, None, 9.1).retry_after for _ in range(200)]
-    assert 0.02 <= min(times) < 0.03 and 0.07 < max(times) <= 0.08
+    # A request needs 20 ms, so 80 of the 100 ms to the target are left for the retry.
+    delays = [_ask(limiter, "c", FAR, 9.0, None, 9.1).retry_after for _ in range(200)]
+    assert 0.02 <= min(delays) < 0.03 and 0.07 < max(delays) <= 0.08
 
 
 @pytest.mark.parametrize("late", [False, True])
-def test_the_time_to_come_back_grows_with_the_time_that_the_overload_has_lasted(late):
+def test_the_retry_delay_grows_with_the_duration_of_the_overload(late):
     limiter = SlotLimiter(1, 0, {}, Random(1))
-    _warm(limiter, "c", 0.02)
+    _end_one(limiter, "c", 0.02)
     _ask(limiter, "c", FAR, 1.0, None)
 
     def mean(now):
-        # Its target has passed, or will have before it can be served.
+        # The target time has passed, or will have passed before the request can be served.
         target = now if late else now + 0.01
         return sum(_ask(limiter, "c", FAR, now, None, target).retry_after for _ in range(200)) / 200
 
     assert mean(1.01) == pytest.approx(0.02, rel=0.2)
     assert mean(1.5) == pytest.approx(0.5, rel=0.2)
     assert mean(3.0) == pytest.approx(2.0, rel=0.2)
-    # A free slot ends it.
+    # A free slot ends the overload.
     limiter.release("c", 0.02, 3.0)
     _ask(limiter, "c", FAR, 3.1, None)
     assert mean(3.11) < 0.05
 
 
-def test_nobody_is_asked_to_come_back_after_the_deadline():
+def test_the_retry_delay_never_exceeds_the_deadline():
     limiter = SlotLimiter(1, 0, {}, Random(1))
-    _warm(limiter, "c", 0.02)
+    _end_one(limiter, "c", 0.02)
     _ask(limiter, "c", FAR, 0.0, None)
     assert all(_ask(limiter, "c", 50.4, 50.0, None).retry_after <= 0.4 + 1e-9 for _ in range(50))
 
 
 @pytest.mark.parametrize("start_by,is_admitted", [(2.0, True), (1.0, False), (0.5, False)])
-def test_a_free_slot_is_not_given_after_the_time_to_start(start_by, is_admitted):
+def test_a_free_slot_is_not_taken_after_the_latest_start(start_by, is_admitted):
     result = _ask(_limiter(), "order", FAR, 1.0, None, start_by=start_by)
     assert (result is None) is is_admitted
     assert is_admitted or result.code is ErrorCode.OVERLOADED
 
 
 @pytest.mark.parametrize("target_time", [None, 50.0])
-def test_a_request_waits_no_longer_than_it_may_start(target_time):
+def test_a_request_waits_no_longer_than_its_latest_start(target_time):
     limiter = _limiter(slots=1)
-    _warm(limiter, "order")
+    _end_one(limiter, "order")
     assert _ask(limiter, "order", FAR, 1.0, None) is None
     assert _ask(limiter, "order", FAR, 1.0, None, target_time, start_by=3.0).expires_at == 3.0
