--- a/packages/lanedock/lanedock/limits/tests/test_bodies.py
+++ b/packages/lanedock/lanedock/limits/tests/test_bodies.py
@@ -114,11 +114,12 @@
 def test_a_known_rate_below_the_least_assumed_rate_limits_admission(load, seed):
     """A link of 1.5 Mbit/s, of which other traffic takes a tenth, must not be taken for one of 2 Mbit/s.
 
-    Taken for 2 Mbit/s, the least rate otherwise assumed, at the three loads it delivers 0.84,
-    0.68 and 0.38 of the bodies in time, and 0.11, 0.20 and 0.33 too late. With its known rate
-    0.90, 0.83 and 0.68 arrive in time, and 0.03 to 0.05 too late.
+    Loads are fractions of the link's rate. If the link were taken for one of 2 Mbit/s, the least
+    rate assumed otherwise, 0.84, 0.68 and 0.38 of the bodies would arrive in time at the three
+    loads, and 0.11, 0.20 and 0.33 too late. With the known rate 0.90, 0.83 and 0.68 arrive in
+    time, and 0.03 to 0.05 too late.
     """
-    rate, target, other, offered = 187_500.0, 1.6, 0.1, 1500
+    rate, target, other_traffic, offered = 187_500.0, 1.6, 0.1, 1500
     rng = Random(seed)
     link = Link(BodyAdmission(24, CLASSES, rate), rate, 600_000.0)
     now = 0.0
@@ -126,11 +127,11 @@
         now += rng.expovariate(load * rate / BODY)
         size = int(min(360_000, max(9_000, rng.expovariate(1 / BODY))))
         link.schedule(now, link.upload, size, "bulk", now + target)
-    link.add_traffic(other, 0.0, now)
+    link.add_traffic(other_traffic, 0.0, now)
     link.run()
     timely = sum(duration <= target for duration in link.durations)
     assert len(link.durations) - timely <= 0.06 * offered
-    assert timely >= 0.85 * offered * min(1.0, (1.0 - other) / load)
+    assert timely >= 0.85 * offered * min(1.0, (1.0 - other_traffic) / load)
 
 
 def test_the_known_rate_applies_before_a_rate_is_observed():
