--- a/packages/lanedock-daemon/lanedock_daemon/agent/__init__.py
+++ b/packages/lanedock-daemon/lanedock_daemon/agent/__init__.py
@@ -1,5 +1,5 @@
 # SPDX-License-Identifier: BSD-3-Clause
-"""The daemon's agent: it takes versions, holds them, and passes them on."""
+"""The daemon's agent: receives configuration versions, holds them and relays them to other daemons."""
 
 from lanedock_daemon.agent.service import AgentService
 from lanedock_daemon.agent.view import LocalView
--- a/packages/lanedock-daemon/lanedock_daemon/agent/attest.py
+++ b/packages/lanedock-daemon/lanedock_daemon/agent/attest.py
@@ -1,5 +1,5 @@
 # SPDX-License-Identifier: BSD-3-Clause
-"""Attempts to reach other daemons of the zone, on the control's request."""
+"""Reachability checks of other daemons in the zone, requested by a control instance."""
 
 import gevent
 
@@ -7,17 +7,17 @@
 from lanedock.wire import messages
 from lanedock_daemon.sockets import open_connection
 
-__all__ = ["ALIVE_PATH", "AttestationsMade", "Attester"]
+__all__ = ["ALIVE_PATH", "AttestationsCompleted", "Attester"]
 
-# Answered by every daemon itself, never passed on.
+# Answered by the daemon itself, never forwarded to the application.
 ALIVE_PATH = "/.lanedock/alive"
-# A daemon that is paused for less than its stall limit serves on, so it must
-# not be confirmed as unreachable: witnesses wait this much longer for its answer.
-PATIENCE = 1.4
+# Time-out of an attempt as a multiple of the stall limit. A daemon that is paused for less than its
+# stall limit continues to serve and must not be attested as unreachable, so the factor exceeds 1.
+ATTEMPT_TIMEOUT_FACTOR = 1.4
 
 
-class AttestationsMade:
-    """Attempts were made."""
+class AttestationsCompleted:
+    """All attempts of a request have ended."""
 
     __slots__ = ("attestations",)
 
@@ -26,40 +26,45 @@
 
 
 class Attester:
-    """Tries to reach daemons, all that are asked for at once.
+    """Checks in parallel whether daemons are reachable.
 
     Parameters
     ----------
     owner : TaskService
-        Takes AttestationsMade.
+        Receives AttestationsCompleted.
     name : str
-        This daemon's.
+        Name of this daemon, given as the attester.
     stall_limit : float
-        Standstill, in seconds, after which any daemon of the mesh notices.
+        Pause of a process, in seconds, after which a daemon of the mesh stops serving.
     """
 
     def __init__(self, owner: TaskService, name: str, stall_limit: float):
         self._owner = owner
         self._name = name
-        self._timeout = PATIENCE * stall_limit
+        self._timeout = ATTEMPT_TIMEOUT_FACTOR * stall_limit
         self._task = None
 
     def ask(self, endpoints: list[messages.Endpoint]) -> None:
-        """Try to reach daemons, unless an earlier attempt still runs."""
+        """Start to check whether daemons are reachable, unless an earlier check is still running."""
         if self._task is None or self._task.ready():
             self._task = gevent.spawn(self._run, endpoints)
 
     def _run(self, endpoints: list[messages.Endpoint]) -> None:
-        tries = [gevent.spawn(_is_alive, endpoint.host, endpoint.port, self._timeout) for endpoint in endpoints]
-        gevent.joinall(tries)
-        made = []
-        for endpoint, one in zip(endpoints, tries, strict=True):
-            made.append(messages.Attestation(instance=endpoint.instance, attester=self._name, reachable=one.value))
-        self._owner.post(AttestationsMade(made))
+        attempts = [gevent.spawn(_is_alive, endpoint.host, endpoint.port, self._timeout) for endpoint in endpoints]
+        gevent.joinall(attempts)
+        attestations = []
+        for endpoint, attempt in zip(endpoints, attempts, strict=True):
+            attestations.append(
+                messages.Attestation(instance=endpoint.instance, attester=self._name, reachable=attempt.value)
+            )
+        self._owner.post(AttestationsCompleted(attestations))
 
 
 def _is_alive(host: str, port: int, timeout: float) -> bool:
-    """Tell whether a daemon answers. A frozen one still accepts connections."""
+    """Return whether a daemon answers an HTTP request.
+
+    A connection alone proves nothing: the kernel accepts connections for a paused process, too.
+    """
     try:
         with gevent.Timeout(timeout), open_connection((host, port)) as conn:
             conn.sendall(f"GET {ALIVE_PATH} HTTP/1.1\r\nHost: {host}\r\nConnection: close\r\n\r\n".encode())
--- a/packages/lanedock-daemon/lanedock_daemon/agent/discovery.py
+++ b/packages/lanedock-daemon/lanedock_daemon/agent/discovery.py
@@ -1,10 +1,10 @@
 # SPDX-License-Identifier: BSD-3-Clause
-"""Learning from the application itself which incarnation a daemon speaks for.
+"""Discovery of the application's incarnation through its health check.
 
-A daemon that was restarted knows nothing of the application beside it until
-that sends a heartbeat, a second or more later. Its health check says at once
-which incarnation it is, and that it is neither leaving nor unwell. And where
-heartbeats of two incarnations cross, it says which of them runs.
+A restarted daemon knows nothing of the application beside it until the application's
+next heartbeat, a second or more later. The health check reports at once which
+incarnation is running and whether it is healthy or leaving. When heartbeats of two
+incarnations arrive interleaved, the health check shows which of them is running.
 """
 
 import string
@@ -27,32 +27,37 @@
 
 __all__ = ["ApplicationDiscovery"]
 
-# Between two looks at whether there is something to ask, and the longest wait
-# for an answer, in seconds.
-INTERVAL = 0.05
-TIMEOUT = 0.5
-# An application that has not said who it is by then does so by heartbeat.
-ATTEMPTS = 3
-# An application that takes fewer requests a second than this gets so few that their answers
-# don't tell in time when it takes more again: its health check is asked, at this interval, in seconds.
-RARE_RATE = 0.5
-RATE_INTERVAL = 2.0
+# Seconds between two checks whether a query is needed; multiplied by one more than the number of queries sent.
+POLL_INTERVAL = 0.05
+# Longest wait for an answer, in seconds.
+ANSWER_TIMEOUT = 0.5
+# After this many queries the application is identified by its next heartbeat only.
+MAX_ATTEMPTS = 3
+# Rate limit, in requests per second, below which the answers to requests come too seldom to show
+# in time that the limit has been raised: the health check is polled instead.
+LOW_RATE = 0.5
+# Seconds between two polls of the health check at a low rate limit.
+LOW_RATE_POLL_INTERVAL = 2.0
 
 
 class ApplicationDiscovery(Service):
-    """Asks the application at the start, unless a heartbeat is first, and whenever it has a rival.
+    """Queries the health check of the application beside the daemon.
+
+    Queries are sent after the start until a heartbeat or an answer identifies the application,
+    when a second incarnation claims to be the application, and while the rate limit is low.
 
     Parameters
     ----------
     view : LocalView
-        With the registration of the application.
+        Holds the registration of the application.
     application : tuple of (str, int)
+        Host and port of the application.
     dialect : Dialect
     on_change : callable
-        Called without arguments when others have to learn of a change.
+        Called without arguments when a change has to be reported to the mesh.
     events : EventLogger
     registrar : Registrar, optional
-        Learns what the answers state of the application.
+        Receives what each answer states of the application, such as its rate limit.
     """
 
     name = "discovery"
@@ -82,54 +87,54 @@
         self._task.kill()
 
     def resolve_rival(self) -> None:
-        """Have the application asked which of two incarnations it is."""
+        """Request a query that tells which of two incarnations is running."""
         self._has_rival.set()
 
     def _run(self) -> None:
         pool = ConnectionPool()
-        self._repeat(pool, lambda: not self._registration.upstream)
+        self._query_while(pool, lambda: not self._registration.upstream)
         while True:
-            if self._has_rival.wait(RATE_INTERVAL):
+            if self._has_rival.wait(LOW_RATE_POLL_INTERVAL):
                 self._has_rival.clear()
-                self._repeat(pool, lambda: self._registration.rival is not None)
-            elif self._is_rarely_asked():
-                self._repeat(pool, self._is_rarely_asked, 1)
+                self._query_while(pool, lambda: self._registration.rival is not None)
+            elif self._is_rate_low():
+                self._query_while(pool, self._is_rate_low, 1)
 
-    def _is_rarely_asked(self) -> bool:
-        """Tell whether the application limits its rate so far that hardly a request tells of a change."""
+    def _is_rate_low(self) -> bool:
+        """Return whether the rate limit is too low for answers to requests to show a change of it in time."""
         rate = self._registration.advertised.rate
-        return rate is not None and rate < RARE_RATE
+        return rate is not None and rate < LOW_RATE
 
-    def _repeat(self, pool: ConnectionPool, is_wanted, limit: int = ATTEMPTS) -> None:
-        """Ask, a few times at most, as long as the answer is wanted."""
+    def _query_while(self, pool: ConnectionPool, is_wanted, limit: int = MAX_ATTEMPTS) -> None:
+        """Query the health check until `is_wanted` is false, at most `limit` times."""
         attempts = 0
         while attempts < limit and is_wanted():
             path = self._view.health_path(self._registration.service)
             if path:
                 attempts += 1
-                self._ask(pool, path)
-            gevent.sleep(INTERVAL * (1 + attempts))
+                self._query_health(pool, path)
+            gevent.sleep(POLL_INTERVAL * (1 + attempts))
         pool.close()
 
     @property
     def _registration(self) -> UpstreamRegistration:
         return self._view.upstream
 
-    def _ask(self, pool: ConnectionPool, path: str) -> None:
+    def _query_health(self, pool: ConnectionPool, path: str) -> None:
         request = Request("GET", quote(path, safe=string.punctuation), self._application[0], [], EmptyBody())
         headers = [("host", self._application[0])]
         try:
-            answer = exchange(pool, self._application, request, headers, TIMEOUT)
+            answer = exchange(pool, self._application, request, headers, ANSWER_TIMEOUT)
             answer.read_all()
             answer.close()
         except (ExchangeError, MalformedMessage, OSError) as exc:
             self._events.emit(Event.DISCOVERY_FAILED, error=exc)
             return
         facts = self._dialect.read_health(answer.message.status, answer.message.headers)
-        self._take(facts)
+        self._apply_health(facts)
 
-    def _take(self, facts: HealthFacts) -> None:
-        """Take over which incarnation the application says it is."""
+    def _apply_health(self, facts: HealthFacts) -> None:
+        """Update the registration from an answer of the health check."""
         registration = self._registration
         now = awake()
         asked = Incarnation(facts.upstream) if facts.upstream else registration.incarnation
--- a/packages/lanedock-daemon/lanedock_daemon/agent/registration.py
+++ b/packages/lanedock-daemon/lanedock_daemon/agent/registration.py
@@ -1,11 +1,12 @@
 # SPDX-License-Identifier: BSD-3-Clause
-"""Applications' registration over HTTP, as lanedock itself speaks it.
+"""Registration of applications over lanedock's own HTTP interface.
 
 ``PUT /upstreams/ID`` with ``{"service", "sequence", "state", "slots",
-"cold_ms"}`` is a heartbeat; ``DELETE /upstreams/ID`` says that the application
-leaves. Both are answered with 204 once the daemon is bound by them. A heartbeat may
-carry ``started``, the Unix milliseconds of the application's start: it may then start
-again under its id; and ``version``, that of its software, for canary releases.
+"cold_ms"}`` is a heartbeat; ``DELETE /upstreams/ID`` states that the application
+leaves. Both are answered with 204 once they are in effect. A heartbeat may carry
+``started``, the start time of the application in Unix milliseconds, which allows the
+application to restart under the same id, and ``version``, the version of its software,
+which canary releases need.
 """
 
 import re
@@ -21,37 +22,38 @@
 __all__ = ["MAX_BODY", "MAX_COLD", "MAX_SLOTS", "Registrar", "RegistrationSide", "check_upstream_id", "refuse_call"]
 
 _PREFIX = "/upstreams/"
-# Bytes of a heartbeat that are read: bounds memory; its fields are far shorter.
+# Longest body of a heartbeat, in bytes. Bounds memory; a valid body is far shorter.
 MAX_BODY = 64 * 1024
-# Most slots, and longest time in seconds for which it is still slow, that an application may
-# report: what an endpoint carries to callers (32 bits, the time in milliseconds).
+# Largest number of slots that an application may report: an endpoint message carries 32 bits.
 MAX_SLOTS = 2**32 - 1
+# Longest warm-up time that an application may report, in seconds: an endpoint message carries
+# 32 bits of milliseconds.
 MAX_COLD = MAX_SLOTS / 1000
-# An id goes into heads and logs: printable ASCII without a slash, of a length that leaves
+# Ids occur in request headers and logs: printable ASCII without a slash, short enough to leave
 # room for the other headers of a request.
 _ID = re.compile(r"[!-.0-~]{1,256}")
-# Whether an application drains in each state.
+# Maps each state of an application to whether it is draining.
 _STATES = {"ready": False, "draining": True}
 SOURCE = "heartbeat"
-# Seconds between two lines on a rate limit that can't be read: it stands in every answer.
+# Seconds between two log lines about an unreadable rate limit, which every answer may repeat.
 UNREADABLE_INTERVAL = 10.0
 
 
 class Registrar:
-    """Brings what an application reports, and what the mesh knows of it, into its registration.
+    """Updates the registration of an application from its own reports and from the mesh.
 
     Parameters
     ----------
     registration : UpstreamRegistration
     on_change : callable
-        Called without arguments when others have to learn of a change.
+        Called without arguments when a change has to be reported to the mesh.
     on_rival : callable
-        Called without arguments when a heartbeat or the mesh names another incarnation.
+        Called without arguments when a heartbeat or the mesh names a second incarnation.
     events : EventLogger
     has_service : callable, optional
-        Called with a name; returns whether the version in force may have such a service.
+        Called with the name of a service; returns whether the version in force may contain it.
     on_restart : callable, optional
-        Called with the incarnation that was held when another one registers, and it hadn't left.
+        Called with the former incarnation when another one replaces it although it had not left.
     """
 
     def __init__(
@@ -77,13 +79,16 @@
         Raises
         ------
         LanedockError
-            `ErrorCode.BAD_REQUEST`: it is not the application's that it names.
+            `ErrorCode.BAD_REQUEST`: the heartbeat lacks the start time of the registered
+            application, so another sender uses the id.
         """
         registration = self._registration
         before, was_leaving = registration.incarnation, registration.is_leaving
         is_changed = registration.beat(heartbeat, awake())
         if registration.lacks_start(heartbeat):
-            raise LanedockError(ErrorCode.BAD_REQUEST, f"{heartbeat!r}: its start is due")
+            raise LanedockError(
+                ErrorCode.BAD_REQUEST, f"{heartbeat!r} lacks the start time with which this id is registered"
+            )
         if registration.rival is heartbeat:
             self._events.emit(
                 Event.RIVAL_HEARD, upstream=before.upstream, rival=heartbeat.upstream, sequence=heartbeat.sequence
@@ -108,23 +113,23 @@
         self._on_change()
 
     def knows_service(self, name: str) -> bool:
-        """Tell whether an application may be of a service: of its own as ever, or of the version's in force."""
+        """Return whether an application may register for a service: its present one or one of the version in force."""
         return name == self._registration.service or self._has_service is None or self._has_service(name)
 
     def leave(self, upstream: str, started: int = 0) -> None:
-        """Note that an incarnation of the application leaves; see `UpstreamRegistration.leave`."""
+        """Record that an incarnation of the application is leaving; see `UpstreamRegistration.leave`."""
         if self._registration.leave(upstream, started):
             self._events.emit(Event.UPSTREAM_LEAVING, upstream=upstream, sequence="-")
             self._on_change()
 
     def note_report(self, report: UpstreamReport, incarnation: Incarnation) -> None:
-        """Take over what an answer of the application states of it.
+        """Apply what an answer of the application states about the application itself.
 
         Parameters
         ----------
         report : UpstreamReport
         incarnation : Incarnation
-            The one that was asked.
+            Incarnation that the request was sent to.
         """
         now = awake()
         if report.unreadable and now >= self._unreadable_at:
@@ -140,7 +145,7 @@
             self.leave(incarnation.upstream, incarnation.started)
 
     def learn_rate(self, rate: float) -> None:
-        """Take over the rate limit that another daemon knows, until an answer of the application states it."""
+        """Use the rate limit reported by another daemon until an answer of the application states one."""
         if self._registration.advertised.adopt(rate, awake()):
             self._emit_rate()
 
@@ -149,7 +154,7 @@
         self._events.emit(Event.RATE_LIMIT_CHANGED, upstream=registration.upstream, rate=registration.advertised.rate)
 
     def adopt(self, endpoint: messages.Endpoint) -> None:
-        """Learn from the mesh what this daemon knew before it was restarted; the mesh knows any change."""
+        """Restore from the mesh what this daemon knew of the application before its own restart."""
         registration = self._registration
         rival, rate = registration.rival, registration.advertised.rate
         if registration.adopt(
@@ -171,7 +176,7 @@
 
 
 class RegistrationSide:
-    """Takes an application's heartbeats.
+    """Serves the HTTP interface through which an application registers.
 
     Parameters
     ----------
@@ -182,7 +187,7 @@
         self._registrar = registrar
 
     def handle(self, request: Request) -> Answer:
-        """Answer a call of the application."""
+        """Answer a request of the application."""
         if not request.path.startswith(_PREFIX):
             return make_refusal(ErrorCode.NO_ROUTE, Outcome.NOT_RUN)
         upstream = request.path.removeprefix(_PREFIX)
@@ -198,7 +203,7 @@
         elif request.method == "PUT":
             self._registrar.beat(self._read_heartbeat(upstream, read_whole(request.body, MAX_BODY)))
         else:
-            raise LanedockError(ErrorCode.BAD_REQUEST, f"{request.method} is not understood")
+            raise LanedockError(ErrorCode.BAD_REQUEST, f"{request.method} is not supported; use PUT or DELETE")
         return Answer(204, "No Content", [], [])
 
     def _read_heartbeat(self, upstream: str, body: bytes) -> Heartbeat:
@@ -219,18 +224,25 @@
 
 
 def refuse_call(exc: LanedockError) -> Answer:
-    """Make the answer to an application's call that can't be accepted; what is wrong in it is a bad request."""
+    """Return the answer that refuses a request of the application; invalid fields make it a bad request."""
     code = ErrorCode.BAD_REQUEST if isinstance(exc, FindingsError) else exc.code
     return make_refusal(code, Outcome.NOT_RUN, 0.0, str(exc))
 
 
 def check_upstream_id(source: str, upstream: str) -> None:
-    """Check the id that a heartbeat names.
+    """Check the application's id in a request.
+
+    Parameters
+    ----------
+    source : str
+        Kind of the request, named as the place of the finding.
+    upstream : str
 
     Raises
     ------
     FindingsError
+        The id is empty, too long or contains a character that is not allowed.
     """
     if not _ID.fullmatch(upstream):
-        message = f"an id of 1 to 256 printable signs without a slash is due, not {upstream[:256]!a}"
+        message = f"an id must be 1 to 256 printable ASCII characters without a slash, not {upstream[:256]!a}"
         raise FindingsError([Finding(ErrorCode.SCHEMA, message, Place(source))])
--- a/packages/lanedock-daemon/lanedock_daemon/agent/report.py
+++ b/packages/lanedock-daemon/lanedock_daemon/agent/report.py
@@ -1,5 +1,5 @@
 # SPDX-License-Identifier: BSD-3-Clause
-"""What a daemon reports of itself to its source."""
+"""Reports of a daemon to its source: its state, suspicions, attestations and floor requests."""
 
 import time
 
@@ -11,17 +11,17 @@
 
 __all__ = ["SourceReport", "StateReport"]
 
-# Seconds for which counts of a canary's requests are gathered before they are reported.
-COUNTS_INTERVAL = 0.3
+# Shortest time, in seconds, between two reports of the request counts of canaries.
+CANARY_COUNTS_INTERVAL = 0.3
 
 
 class StateReport:
-    """The daemon's state, as it was reported last.
+    """The state of the daemon as last reported to its source.
 
     Parameters
     ----------
     settings : Settings
-        With a daemon section.
+        Must have a daemon section.
     view : LocalView
 
     Attributes
@@ -32,14 +32,14 @@
     def __init__(self, settings: Settings, view: LocalView):
         self._settings = settings
         self._view = view
-        self._counts_at = 0.0
+        self._counts_due_at = 0.0
         takes_any = settings.entry is not None or settings.daemon.any_service
         self.state = messages.DaemonState(
             daemon=settings.name,
             zone=settings.zone,
             role=messages.ROLE_ENTRY if takes_any else messages.ROLE_UPSTREAM,
             service=settings.upstream.service if settings.upstream else "",
-            # Without a disk, the wall clock tells an earlier start from a later.
+            # The daemon stores nothing on disk, so the wall clock, in milliseconds, orders its starts.
             incarnation=time.time_ns() // 1_000_000,
         )
         if settings.daemon.relay:
@@ -49,14 +49,14 @@
     def __repr__(self) -> str:
         return f"<StateReport {self.state.daemon} sequence={self.state.sequence}>"
 
-    def outlive(self, incarnation: int) -> None:
-        """Make sure that this start counts as later than one that the mesh knows of."""
+    def ensure_later_incarnation(self, incarnation: int) -> None:
+        """Raise this daemon's incarnation above one that the mesh already knows."""
         if incarnation > self.state.incarnation:
-            # The wall clock has gone back since the former start.
+            # The wall clock was set back since the former start.
             self.state.incarnation = incarnation + 1
 
     def refresh(self, parent: str) -> bool:
-        """Bring the state up to date; returns whether it has changed.
+        """Update the state; returns whether it has changed.
 
         Parameters
         ----------
@@ -86,20 +86,20 @@
         return True
 
     def _fill_canaries(self, state: messages.DaemonState) -> None:
-        """Fill in which plan is followed, and what was seen of the canaries that run."""
+        """Fill in the revision of the canary plan in use and the request counts of running canaries."""
         state.canary_revision = self._view.canaries.plan.revision
         state.is_displaced_busy = self._view.is_displaced_busy()
         now = monotonic()
-        if now < self._counts_at:
+        if now < self._counts_due_at:
             return
         counts = self._view.canary_counter.take_changed()
         if counts is not None:
-            self._counts_at = now + COUNTS_INTERVAL
+            self._counts_due_at = now + CANARY_COUNTS_INTERVAL
             del state.canary_counts[:]
             state.canary_counts.extend(counts)
 
     def _fill_endpoint(self, state: messages.DaemonState) -> None:
-        """Fill in the upstream that this daemon speaks for, once it has registered."""
+        """Fill in the endpoint of this daemon's upstream once the upstream has registered."""
         registration = self._view.upstream
         if registration is None or not registration.upstream:
             return
@@ -128,13 +128,13 @@
 
 
 class SourceReport:
-    """Gathers what the next message to the source carries beside the daemon's state.
+    """Collects the content of the next message to the source, apart from the daemon's state.
 
     Parameters
     ----------
     state : StateReport
     quarantine : Quarantine
-        Of the process; its news go to the source.
+        Quarantine of the process; its new suspicions are sent to the source.
     """
 
     def __init__(self, state: StateReport, quarantine: Quarantine):
@@ -143,53 +143,53 @@
         self._suspicions = quarantine.add_outbox()
         self._attestations: list[messages.Attestation] = []
         self._floor_token = 0
-        self._is_floor_asked = False
+        self._is_floor_requested = False
 
     def __repr__(self) -> str:
         return f"<SourceReport attestations={len(self._attestations)} suspicions={self._suspicions!r}>"
 
     def add_attestations(self, attestations: list[messages.Attestation]) -> None:
-        """Add what was found out about other instances."""
+        """Add results of reachability checks of other instances."""
         self._attestations.extend(attestations)
 
-    def ask_floor_again(self) -> None:
-        """Expect no answer any more to the last question for the floor."""
-        self._is_floor_asked = False
+    def abandon_floor_request(self) -> None:
+        """Stop waiting for an answer to the last floor request, so that a new one can be sent."""
+        self._is_floor_requested = False
 
-    def answers_floor(self, floor: messages.Floor) -> bool:
-        """Tell whether a floor answers the last question for it, which then is open no more."""
+    def take_floor_answer(self, floor: messages.Floor) -> bool:
+        """Return whether a floor answers the last floor request; if so, the request is completed."""
         if floor.token != self._floor_token:
             return False
-        self._is_floor_asked = False
+        self._is_floor_requested = False
         return True
 
     def merge_suspicions(self, suspicions: list[messages.Suspicion], now: float) -> None:
-        """Take over the source's suspicions; they are not sent back to it."""
+        """Merge suspicions received from the source; they are not sent back to it."""
         self._quarantine.merge(suspicions, now, self._suspicions)
 
     def is_due(self, wants_floor: bool) -> bool:
-        """Tell whether the source has to learn of something at once, or to be asked for the floor."""
-        asks = wants_floor and not self._is_floor_asked
-        return asks or bool(self._attestations or self._suspicions)
+        """Return whether there is content that must not wait for the next periodic report."""
+        must_request = wants_floor and not self._is_floor_requested
+        return must_request or bool(self._attestations or self._suspicions)
 
-    def make(
+    def make_message(
         self, parent: str, wants_floor: bool, with_state: bool, is_first: bool, now: float
     ) -> messages.DaemonMessage:
-        """Make the next message.
+        """Build the next message to the source and mark its content as sent.
 
         Parameters
         ----------
         parent : str
             Name of the relay that is the source; empty where it is a control instance.
         wants_floor : bool
-            Whether it asks for the floor, unless an answer is still to come.
+            Whether to request the floor, unless an answer to an earlier request is pending.
         with_state : bool
-            Whether it carries the state.
+            Whether to include the state.
         is_first : bool
-            Whether it is the first one to this source, which may be new to all that former ones
-            were sent.
+            Whether this is the first message to this source. It then carries all suspicions,
+            since the source may know none of those sent to former sources.
         now : float
-            Monotonic, seconds.
+            Monotonic time, in seconds.
 
         Returns
         -------
@@ -199,9 +199,9 @@
         if with_state:
             self._state.refresh(parent)
             message.state.CopyFrom(self._state.state)
-        if wants_floor and not self._is_floor_asked:
+        if wants_floor and not self._is_floor_requested:
             self._floor_token += 1
-            self._is_floor_asked = True
+            self._is_floor_requested = True
             message.floor_token = self._floor_token
         message.attestations.extend(self._attestations)
         self._attestations = []
--- a/packages/lanedock-daemon/lanedock_daemon/agent/scouting.py
+++ b/packages/lanedock-daemon/lanedock_daemon/agent/scouting.py
@@ -1,10 +1,10 @@
 # SPDX-License-Identifier: BSD-3-Clause
-"""When a daemon looks for a fresher source than the one it has, and whom it asks. Pure.
+"""Probes of control instances for a fresher source than the present one. Does no I/O but closing streams.
 
-A source that can't be reached by the leader serves its daemons on, with versions that
-grow old. A daemon stays with it and asks the other control instances, one after the
-other, how fresh they are; it moves once one of them has a leader. So nothing is lost
-where no instance is better, and a daemon can look for one early.
+A source that is cut off from the leader continues to serve its daemons with versions
+that become outdated. A daemon stays connected to it while it probes the other control
+instances, and switches once one of them has a leader. Probing early is therefore safe:
+where no instance is fresher, the daemon keeps its source.
 """
 
 from random import Random
@@ -12,69 +12,69 @@
 from lanedock.settings import Address
 from lanedock_daemon.transport import SourceStream
 
-__all__ = ["SCOUT_LIFETIME", "Scout", "ScoutRounds", "Scouts", "SourceFreshness"]
-
-# Seconds after which the next instance is asked how fresh it is, beside the one before:
-# many round trips between regions, and a lost packet's first retransmission (200 ms).
-SCOUT_LIMIT = 0.25
-# Seconds in which an instance may answer, its connection included. What it sends may wait
-# behind bodies on the daemon's link; given up after 0.25 s, none ever answered over one on
-# which 0.35 s of them stood (agent/tests/test_source_loss.py).
-SCOUT_LIFETIME = 1.0
-# Waits between two rounds in which no instance had a leader, in seconds. While there is
-# none anywhere, 760 daemons ask each of 7 instances some 500 times a second so (virtual
-# time), at 0.2 kB an answer and 0.36 ms of a core.
+__all__ = ["PROBE_TIMEOUT", "FreshnessProbe", "FreshnessProbes", "ProbeSchedule", "SourceFreshness"]
+
+# Seconds after which the next instance is probed although the previous probe is unanswered:
+# covers several round trips between regions and the first retransmission of a lost packet (200 ms).
+PROBE_INTERVAL = 0.25
+# Seconds until a probe is abandoned, connecting included. The answer may queue behind request bodies
+# on the daemon's link: with a limit of 0.25 s, no probe succeeds on a link with 0.35 s of queued data
+# (agent/tests/test_source_loss.py).
+PROBE_TIMEOUT = 1.0
+# Shortest and longest wait between two rounds of probes in which no instance had a leader, in seconds.
+# During an outage of all leaders, 760 daemons send each of 7 instances some 500 probes per second,
+# each of which costs 0.2 kB of answer and 0.36 ms of CPU time.
 ROUND_WAIT_MIN = 0.25
 ROUND_WAIT_MAX = 1.0
 
 
 class SourceFreshness:
-    """How long ago a leader was heard, as far as sources have reported.
+    """Time since the leader was last heard, according to the reports of sources.
 
-    It grows between two reports: a source that has fallen silent reports nothing.
+    It grows between two reports, so a silent source becomes stale, too.
 
     Parameters
     ----------
     limit : float
-        Seconds after which a fresher source is looked for. Longer than an election
-        takes, and by so much shorter than the time within which a version has to be in
-        force that a daemon can find a source, connect and catch up.
+        Age in seconds above which the daemon probes for a fresher source. Longer than an
+        election, and short enough that a daemon can find a source, connect and catch up
+        within the time in which a version has to be in force.
     now : float
-        Monotonic, seconds.
+        Monotonic time, in seconds.
     """
 
     def __init__(self, limit: float, now: float):
         self.limit = limit
-        self._led_at = now
+        self._leader_heard_at = now
 
     def __repr__(self) -> str:
-        return f"<SourceFreshness limit={self.limit} led_at={self._led_at:.2f}>"
+        return f"<SourceFreshness limit={self.limit} leader_heard_at={self._leader_heard_at:.2f}>"
 
     def note(self, staleness: float, now: float) -> None:
-        """Take over what a source reports: for how long it has heard no leader, in seconds."""
-        self._led_at = now - staleness
+        """Record a report of the source: seconds for which it has not heard the leader."""
+        self._leader_heard_at = now - staleness
 
     def age(self, now: float) -> float:
-        """Return for how long no leader is known to have been heard, in seconds."""
-        return max(0.0, now - self._led_at)
+        """Return the time since the leader was last known to be heard, in seconds."""
+        return max(0.0, now - self._leader_heard_at)
 
-    def is_over(self, now: float, patience: float = 0.0) -> bool:
-        """Tell whether a fresher source is to be looked for, `patience` seconds past the limit."""
-        return self.age(now) > self.limit + patience
+    def is_exceeded(self, now: float, grace: float = 0.0) -> bool:
+        """Return whether the age exceeds the limit by more than `grace` seconds."""
+        return self.age(now) > self.limit + grace
 
 
-class Scout:
-    """One instance that is being asked how fresh it is.
+class FreshnessProbe:
+    """A probe of one control instance: a stream that awaits a heartbeat.
 
     Attributes
     ----------
     stream : SourceStream
     address : Address
     is_failback : bool
-        Whether it is asked because it is the own zone's, and not because the present
-        source is too old.
+        Whether the probe is for a return to the own zone's instance, and not because the
+        present source is stale.
     started_at : float
-        Monotonic, seconds.
+        Monotonic time, in seconds.
     """
 
     __slots__ = ("address", "is_failback", "started_at", "stream")
@@ -86,50 +86,50 @@
         self.started_at = now
 
     def __repr__(self) -> str:
-        return f"<Scout {self.address} is_failback={self.is_failback}>"
+        return f"<FreshnessProbe {self.address} is_failback={self.is_failback}>"
 
 
-class Scouts:
-    """The instances that are being asked."""
+class FreshnessProbes:
+    """The probes that await an answer."""
 
     def __init__(self):
-        self._scouts: list[Scout] = []
+        self._probes: list[FreshnessProbe] = []
 
     def __repr__(self) -> str:
-        return f"<Scouts {self._scouts}>"
+        return f"<FreshnessProbes {self._probes}>"
 
-    def add(self, scout: Scout) -> None:
-        """Note one more."""
-        self._scouts.append(scout)
+    def add(self, probe: FreshnessProbe) -> None:
+        """Add a probe that was started."""
+        self._probes.append(probe)
 
-    def find(self, stream: SourceStream) -> Scout | None:
-        """Return the one that a stream belongs to, if any."""
-        return next((scout for scout in self._scouts if scout.stream is stream), None)
+    def find(self, stream: SourceStream) -> FreshnessProbe | None:
+        """Return the probe that uses a stream, or None."""
+        return next((probe for probe in self._probes if probe.stream is stream), None)
 
-    def end(self, scout: Scout) -> None:
-        """Give one up."""
-        self._scouts.remove(scout)
-        scout.stream.close()
+    def end(self, probe: FreshnessProbe) -> None:
+        """Remove a probe and close its stream."""
+        self._probes.remove(probe)
+        probe.stream.close()
 
     def end_all(self) -> None:
-        """Give all up."""
-        for scout in list(self._scouts):
-            self.end(scout)
+        """End all probes."""
+        for probe in list(self._probes):
+            self.end(probe)
 
     def may_add(self, now: float, is_failback: bool) -> bool:
-        """Tell whether another instance may be asked; those that have taken too long are given up.
+        """Return whether another probe may start; ends the probes that have timed out.
 
-        Nobody waits for a return to the own zone: it is asked while no other is.
+        A return to the own zone is not urgent: its probe starts only when no other is in progress.
         """
-        for scout in [scout for scout in self._scouts if now - scout.started_at > SCOUT_LIFETIME]:
-            self.end(scout)
+        for probe in [probe for probe in self._probes if now - probe.started_at > PROBE_TIMEOUT]:
+            self.end(probe)
         if is_failback:
-            return not self._scouts
-        return all(now - scout.started_at > SCOUT_LIMIT for scout in self._scouts)
+            return not self._probes
+        return all(now - probe.started_at > PROBE_INTERVAL for probe in self._probes)
 
 
-class ScoutRounds:
-    """Whom to ask next, and when: all instances in turn, then a wait that grows.
+class ProbeSchedule:
+    """Order and times of probes: each instance in turn, then a wait that grows exponentially.
 
     Parameters
     ----------
@@ -138,28 +138,28 @@
 
     def __init__(self, rng: Random):
         self._rng = rng
-        self._asked = 0
-        self._rounds = 0
+        self._position = 0
+        self._completed_rounds = 0
         self._due_at = 0.0
 
     def __repr__(self) -> str:
-        return f"<ScoutRounds rounds={self._rounds} asked={self._asked}>"
+        return f"<ProbeSchedule rounds={self._completed_rounds} asked={self._position}>"
 
     def reset(self) -> None:
-        """Begin anew: the present source is fresh enough."""
-        self._asked = self._rounds = 0
+        """Start again with the first instance and without a wait."""
+        self._position = self._completed_rounds = 0
         self._due_at = 0.0
 
     def choose(self, candidates: list[Address], now: float) -> Address | None:
-        """Return whom to ask now; None where nobody is to be asked yet."""
+        """Return the address to probe now, or None during the wait between two rounds."""
         if now < self._due_at or not candidates:
             return None
-        if self._asked < len(candidates):
-            self._asked += 1
-            return candidates[self._asked - 1]
-        self._asked = 0
-        longest = min(ROUND_WAIT_MAX, ROUND_WAIT_MIN * 2**self._rounds)
-        self._rounds += 1
-        # Those that lost the same source together come back spread out.
-        self._due_at = now + self._rng.uniform(0.5, 1.0) * longest
+        if self._position < len(candidates):
+            self._position += 1
+            return candidates[self._position - 1]
+        self._position = 0
+        max_wait = min(ROUND_WAIT_MAX, ROUND_WAIT_MIN * 2**self._completed_rounds)
+        self._completed_rounds += 1
+        # Jitter spreads the probes of daemons that lost the same source at the same time.
+        self._due_at = now + self._rng.uniform(0.5, 1.0) * max_wait
         return None
--- a/packages/lanedock-daemon/lanedock_daemon/agent/search.py
+++ b/packages/lanedock-daemon/lanedock_daemon/agent/search.py
@@ -1,5 +1,5 @@
 # SPDX-License-Identifier: BSD-3-Clause
-"""Which source a daemon tries next, and when. Pure."""
+"""Choice of the next source to connect to and of the time to do so. Does no I/O."""
 
 from random import Random
 
@@ -7,38 +7,38 @@
 
 __all__ = ["SourceSearch"]
 
+# Base of the exponential backoff between two connection attempts, in seconds.
 BACKOFF_MIN = 0.1
-# 760 daemons that look for a source at random within this time, in seconds, knock
-# 760 times a second, which costs less than a second more without a source.
+# Longest backoff, in seconds. 760 daemons that each reconnect at a random time within it make 760
+# attempts per second, and the wait adds less than one second to the time without a source.
 BACKOFF_MAX = 1.0
-# The same for a daemon that can't serve before it has found one, in seconds: each
-# knock is one packet that is dropped or refused as long as nobody is there, and
-# 760 daemons at 7 control instances send each of them 870 a second.
+# Longest backoff, in seconds, of a daemon that can serve nothing before it has a source. While no
+# instance is up, an attempt costs one packet that is dropped or refused; 760 daemons send each of
+# 7 control instances 870 of them per second.
 URGENT_BACKOFF_MAX = 0.25
-# Seconds for which a relay that failed is named to control instances, which then refer to
-# another: a daemon is restarted in seconds, and being wrong costs the other relay one
-# session.
-RELAY_MEMORY = 30.0
-# Seconds between two looks whether the own zone's control instance has a leader again,
-# doubled with each: not before one that was restarted can have caught up, and at the
-# longest, 760 daemons away from their zones ask 2.5 times a second together (760 / 300).
+# Seconds for which a failed relay is reported to control instances, which then redirect to another
+# one. A daemon restarts within seconds; avoiding it longer than needed costs the other relay one session.
+FAILED_RELAY_RETENTION = 30.0
+# Shortest and longest wait between two probes of the own zone's control instance, in seconds; the wait
+# doubles with each probe. The shortest lets a restarted instance catch up; with the longest,
+# 760 daemons away from their zones send 2.5 probes per second in total (760 / 300).
 FAILBACK_WAIT_MIN = 4.0
 FAILBACK_WAIT_MAX = 300.0
 
 
 class SourceSearch:
-    """The search for a source: control instances in turn, and relays they name.
+    """Search for a source among control instances, in turn, and the relays that they redirect to.
 
-    Waits grow exponentially with full jitter, so that daemons which lost their
-    source together come back spread out.
+    Waits grow exponentially with full jitter, which spreads the attempts of daemons that
+    lost their source at the same time.
 
     Parameters
     ----------
     control : list of Address
-        The own zone's first.
+        Addresses from the settings; the own zone's control instance comes first.
     rng : random.Random
     zone : str, optional
-        The daemon's own, by which members are ordered.
+        Availability zone of the daemon; control instances in it are preferred.
     """
 
     def __init__(self, control: list[Address], rng: Random, zone: str = ""):
@@ -58,17 +58,17 @@
         return f"<SourceSearch failures={self._failures} relay={self._relay}>"
 
     def set_seeds(self, seeds: list[Address]) -> None:
-        """Take over other control instances from the settings; those learned stay."""
+        """Replace the control instances from the settings; those named by a source are kept."""
         self._seeds = list(seeds)
-        self._order()
+        self._sort_control()
 
     def set_members(self, members: list[tuple[str, str]]) -> None:
-        """Take over the control instances, with their zones, that a source has named."""
+        """Replace the control instances named by a source; each is an address and its zone."""
         self._members = [(Address.parse(address), zone) for address, zone in members]
-        self._order()
+        self._sort_control()
 
-    def _order(self) -> None:
-        """Put those of the own zone first, and go on from the present one."""
+    def _sort_control(self) -> None:
+        """Order the known control instances, the own zone's first, and keep the present position."""
         current = self._control[self._position % len(self._control)]
         zones = dict(self._members)
         known = list(dict.fromkeys([*(address for address, _ in self._members), *self._seeds]))
@@ -76,7 +76,7 @@
         self._position = self._control.index(current) if current in self._control else 0
 
     def address(self) -> Address:
-        """Return the address to try now."""
+        """Return the address of the source to connect to."""
         if self._relay is not None:
             return self._relay[1]
         return self._control[self._position % len(self._control)]
@@ -85,10 +85,10 @@
         """Return the address of the own zone's control instance."""
         return self._control[0]
 
-    def scouted(self, present: Address) -> list[Address]:
-        """Return the control instances to ask for a fresher source, the ones after the present source first.
+    def probe_order(self, present: Address) -> list[Address]:
+        """Return the control instances to probe, in order, starting after the present source.
 
-        The present one comes last: its stream may have fallen silent while new ones work.
+        The present source comes last: its stream may have become silent while new streams work.
         """
         if present not in self._control:
             return list(self._control)
@@ -97,20 +97,20 @@
 
     @property
     def failures(self) -> int:
-        """How many sources have failed since one served."""
+        """Number of sources that have failed since a source last served."""
         return self._failures
 
     def relay_name(self) -> str:
-        """Return the name of the relay to try; empty where it is a control instance."""
+        """Return the name of the relay to connect to; empty for a control instance."""
         return self._relay[0] if self._relay else ""
 
     def failed_relays(self, now: float) -> list[str]:
-        """Return the relays that failed lately."""
+        """Return the names of relays that failed within the last `FAILED_RELAY_RETENTION` seconds."""
         self._failed_relays = {name: until for name, until in self._failed_relays.items() if until > now}
         return sorted(self._failed_relays)
 
     def note_success(self, now: float) -> None:
-        """Note that the source serves."""
+        """Record that the source serves."""
         self._failures = 0
         if self.is_preferred():
             self._failback_wait = FAILBACK_WAIT_MIN
@@ -119,11 +119,11 @@
             self._failback_at = now + self._rng.uniform(0.5, 1.0) * self._failback_wait
 
     def is_preferred(self) -> bool:
-        """Tell whether the source is the own zone's control instance, or a relay."""
+        """Return whether the source is a relay or the own zone's control instance."""
         return self._relay is not None or self._position % len(self._control) == 0
 
     def is_failback_due(self, now: float) -> bool:
-        """Tell, once in a while, that the own zone's control instance is worth a try."""
+        """Return whether to probe the own zone's control instance now; if so, schedules the next probe."""
         if self.is_preferred() or self._failback_at is None or now < self._failback_at:
             return False
         self._failback_wait = min(2 * self._failback_wait, FAILBACK_WAIT_MAX)
@@ -131,43 +131,43 @@
         return True
 
     def move_to(self, address: Address, now: float) -> None:
-        """Take versions from this control instance next; a relay that is left for it counts as failed."""
+        """Select a control instance as the next source; a relay that is abandoned for it counts as failed."""
         if self._relay is not None:
-            self._failed_relays[self._relay[0]] = now + RELAY_MEMORY
+            self._failed_relays[self._relay[0]] = now + FAILED_RELAY_RETENTION
             self._relay = None
         self._position = self._control.index(address) if address in self._control else 0
 
     def note_redirect(self, relay: str, address: Address) -> float:
-        """Note that a control instance refers to a relay; returns the wait in seconds."""
+        """Record a redirect to a relay; returns the wait before connecting, in seconds."""
         self._relay = (relay, address)
         return 0.0
 
     def note_refusal(self, retry_after: float) -> float:
-        """Note that the source named a time to come back; returns the wait in seconds."""
+        """Return the wait before reconnecting, in seconds: the time that the source gave, plus up to 10% jitter."""
         return retry_after * self._rng.uniform(1.0, 1.1)
 
     def note_failure(self, now: float, is_urgent: bool = False) -> float:
-        """Note that the source failed.
+        """Record that the source failed, and select the next one.
 
         Parameters
         ----------
         now : float
-            Monotonic, seconds.
+            Monotonic time, in seconds.
         is_urgent : bool
-            Whether nothing can be served before a source is found.
+            Whether the daemon can serve nothing before it finds a source.
 
         Returns
         -------
         float
-            How long to wait, in seconds.
+            Wait before the next attempt, in seconds.
         """
         if self._relay is not None:
-            # A relay takes its daemons along when it goes: they spread out too.
-            self._failed_relays[self._relay[0]] = now + RELAY_MEMORY
+            # All daemons of a relay lose it at the same time, so the wait below applies to them, too.
+            self._failed_relays[self._relay[0]] = now + FAILED_RELAY_RETENTION
             self._relay = None
         else:
             self._position += 1
         self._failures += 1
-        most = URGENT_BACKOFF_MAX if is_urgent else BACKOFF_MAX
-        longest = min(most, BACKOFF_MIN * 2 ** min(self._failures, 16))
-        return self._rng.uniform(0, longest)
+        max_backoff = URGENT_BACKOFF_MAX if is_urgent else BACKOFF_MAX
+        max_wait = min(max_backoff, BACKOFF_MIN * 2 ** min(self._failures, 16))
+        return self._rng.uniform(0, max_wait)
--- a/packages/lanedock-daemon/lanedock_daemon/agent/service.py
+++ b/packages/lanedock-daemon/lanedock_daemon/agent/service.py
@@ -1,5 +1,5 @@
 # SPDX-License-Identifier: BSD-3-Clause
-"""The agent's task."""
+"""The task of the agent: connects to a source of versions and keeps the local view up to date."""
 
 import random
 
@@ -8,11 +8,17 @@
 from lanedock.settings import Address, Settings
 from lanedock.telemetry import Event, EventLogger, Metric, Metrics
 from lanedock.wire import messages
-from lanedock_daemon.agent.attest import AttestationsMade, Attester
+from lanedock_daemon.agent.attest import AttestationsCompleted, Attester
 from lanedock_daemon.agent.registration import Registrar
 from lanedock_daemon.agent.relay import RelaySessions
 from lanedock_daemon.agent.report import SourceReport, StateReport
-from lanedock_daemon.agent.scouting import SCOUT_LIFETIME, Scout, ScoutRounds, Scouts, SourceFreshness
+from lanedock_daemon.agent.scouting import (
+    PROBE_TIMEOUT,
+    FreshnessProbe,
+    FreshnessProbes,
+    ProbeSchedule,
+    SourceFreshness,
+)
 from lanedock_daemon.agent.search import SourceSearch
 from lanedock_daemon.agent.versions import VersionLag, VersionReceiver
 from lanedock_daemon.agent.view import LocalView
@@ -30,26 +36,26 @@
 
 __all__ = ["AgentService"]
 
-# Seconds between two looks at the source, by which it is noticed later that it is lost.
+# Seconds between two checks of the source. The loss of a source is detected up to this much later.
 TICK = 0.1
-# Seconds in which a source that has just been connected to has to say how fresh it is:
-# control instances that start, on a part of a core, take tenths of a second. Doubled
-# with each source that failed, for where all are as slow.
-FIRST_ANSWER_LIMIT = 0.5
-# A relay that has lost its source finds another within this time, in seconds; those
-# downstream wait for that, or all of them would leave it at the moment at which it moves.
-RELAY_PATIENCE = 0.5
-# Seconds between two looks at what only metrics show; endpoints are counted for it.
+# Seconds within which a source that was just connected to has to send a heartbeat. Control instances
+# that start on a fraction of a core take tenths of a second. Doubled with each source that failed, in
+# case all of them are slow.
+FIRST_HEARTBEAT_TIMEOUT = 0.5
+# Seconds within which a relay that has lost its source finds another one. Downstream daemons wait this
+# long before they probe; otherwise all of them would leave the relay just as it switches its source.
+RELAY_RECOVERY_TIME = 0.5
+# Seconds between two updates of the gauges, for which all endpoints have to be counted.
 MEASURE_INTERVAL = 0.5
 
 
 class AgentService(TaskService):
-    """Takes versions and endpoints from a source, and publishes them.
+    """Receives versions and endpoints from a source and publishes them to the request path.
 
     Parameters
     ----------
     settings : Settings
-        With a daemon section.
+        Must have a daemon section.
     view : LocalView
     events : EventLogger
     metrics : Metrics
@@ -67,10 +73,10 @@
         rng = random.Random()
         self._search = SourceSearch(settings.daemon.control, rng, settings.zone)
         self._freshness = SourceFreshness(settings.daemon.staleness_limit_ms / 1000, monotonic())
-        self._scouts = Scouts()
-        self._better: Address | None = None
-        self._answered_in = 0.0
-        self._rounds = ScoutRounds(rng)
+        self._probes = FreshnessProbes()
+        self._fresher_address: Address | None = None
+        self._probe_duration = 0.0
+        self._probe_schedule = ProbeSchedule(rng)
         self._quarantine = view.quarantine
         self._relay = RelaySessions(metrics, view.quarantine) if settings.daemon.relay else None
         self._stream: SourceStream | None = None
@@ -89,14 +95,14 @@
             DrainRequested: self._on_drain,
             ReportDue: lambda item: None,
             SeedsChanged: lambda item: self._search.set_seeds(item.control),
-            AttestationsMade: lambda item: self._report.add_attestations(item.attestations),
+            AttestationsCompleted: lambda item: self._report.add_attestations(item.attestations),
             ChildArrived: self._on_child_arrived,
             ChildReported: lambda item: self._relay.receive(item.session, item.message),
             ChildLeft: lambda item: self._relay.leave(item.session),
         }
 
     def set_registrar(self, registrar: Registrar) -> None:
-        """Set what learns what the mesh knows of the application beside this daemon."""
+        """Set the registrar, which receives what the mesh knows of the application beside this daemon."""
         self._registrar = registrar
 
     # ------------------------------------------------------------------- start
@@ -114,7 +120,7 @@
             self._server.close()
         if self._stream is not None:
             self._stream.close()
-        self._scouts.end_all()
+        self._probes.end_all()
 
     # ---------------------------------------------------------------- messages
 
@@ -129,9 +135,9 @@
             self._events.emit(Event.UPSTREAM_SILENT, upstream=self._view.upstream.upstream)
         if not self._view.note_alive():
             self._events.emit(Event.SUSPENDED, version=self._holder.in_force_version.number)
-            self._report.ask_floor_again()
+            self._report.abandon_floor_request()
         heard_at = self._stream.heard_at if self._stream is not None else None
-        self._lag.note(now, heard_at, self._freshness.age(now))
+        self._lag.update(now, heard_at, self._freshness.age(now))
         if now >= self._measure_at:
             self._measure_at = now + MEASURE_INTERVAL
             self._measure(now)
@@ -141,11 +147,11 @@
         elif self._is_silent(now):
             self._leave_source("silent")
         else:
-            self._look_around(now)
+            self._probe_sources(now)
         self._advance()
 
     def _measure(self, now: float) -> None:
-        """Measure how old what is known is, and let go of what is too old."""
+        """Update the gauges, and remove suspicions and endpoints that have expired."""
         self._quarantine.expire(now)
         self._view.expire_endpoints(now)
         self._metrics.gauge(Metric.QUARANTINED, len(self._quarantine.quarantined()))
@@ -156,64 +162,64 @@
             self._metrics.gauge(Metric.ENDPOINTS, count, (zone,))
 
     def _is_silent(self, now: float) -> bool:
-        """Tell whether the source has said nothing for so long that it counts as lost."""
+        """Return whether the source counts as lost: silent for too long, or without a first heartbeat in time."""
         if now - self._stream.heard_at > SILENCE_LIMIT:
             return True
-        limit = max(FIRST_ANSWER_LIMIT * self._doubled(), 2 * self._answered_in)
+        limit = max(FIRST_HEARTBEAT_TIMEOUT * self._timeout_factor(), 2 * self._probe_duration)
         return not self._stream.is_serving and now - self._opened_at > limit
 
-    def _doubled(self) -> int:
-        """Return how many times as long as at first a source has, after as many that failed."""
+    def _timeout_factor(self) -> int:
+        """Return the factor by which time-outs are extended after consecutive failures of sources: 8 at most."""
         return 2 ** min(self._search.failures, 3)
 
-    # ---------------------------------------------------------------- scouting
+    # ----------------------------------------------------------------- probing
 
-    def _look_around(self, now: float) -> None:
-        """Ask other instances how fresh they are, where that may lead to a better source."""
-        is_old = self._stream.is_serving and (self._is_too_old(now) or self._lag.is_at_source(now))
-        better, self._better = self._better, None
-        if not is_old:
-            self._rounds.reset()
-        elif better is not None:
-            self._move(better, "stale", now)
+    def _probe_sources(self, now: float) -> None:
+        """Switch to a fresher source that was found, or start a probe for one where needed."""
+        is_stale = self._stream.is_serving and (self._is_source_stale(now) or self._lag.is_source_behind(now))
+        fresher, self._fresher_address = self._fresher_address, None
+        if not is_stale:
+            self._probe_schedule.reset()
+        elif fresher is not None:
+            self._switch_to(fresher, "stale", now)
             return
-        if not self._scouts.may_add(now, not is_old):
+        if not self._probes.may_add(now, not is_stale):
             return
-        if is_old:
-            address = self._rounds.choose(self._search.scouted(self._stream.address), now)
+        if is_stale:
+            address = self._probe_schedule.choose(self._search.probe_order(self._stream.address), now)
             if address is not None:
-                self._send_scout(address, False, now)
+                self._open_probe(address, False, now)
         elif self._search.is_failback_due(now):
-            self._send_scout(self._search.failback_target(), True, now)
+            self._open_probe(self._search.failback_target(), True, now)
 
-    def _is_too_old(self, now: float) -> bool:
-        """Tell whether the source proves no leader for too long; a relay has time to find another one itself.
+    def _is_source_stale(self, now: float) -> bool:
+        """Return whether the source has not heard the leader for too long.
 
-        One that says nothing finds none: with that time on top a version is in force 2.1 s after
-        its acceptance at most, instead of 1.6 s, where the instance asked first is paused, too
-        (virtual time).
+        A relay gets additional time to find another source itself. A silent relay does not: the
+        additional time would delay a version that was accepted from 1.6 s to 2.1 s where the
+        instance that is probed first is paused, too.
         """
         is_heard = now - self._stream.heard_at <= self._freshness.limit
-        patience = RELAY_PATIENCE if self._search.relay_name() and is_heard else 0.0
-        return self._freshness.is_over(now, patience)
+        grace = RELAY_RECOVERY_TIME if self._search.relay_name() and is_heard else 0.0
+        return self._freshness.is_exceeded(now, grace)
 
-    def _send_scout(self, address: Address, is_failback: bool, now: float) -> None:
+    def _open_probe(self, address: Address, is_failback: bool, now: float) -> None:
         stream = self._transport.open_source(self, address)
-        stream.connect_limit = SCOUT_LIFETIME
-        self._scouts.add(Scout(stream, address, is_failback, now))
-        # Without a state: it is none of the daemons there.
+        stream.connect_limit = PROBE_TIMEOUT
+        self._probes.add(FreshnessProbe(stream, address, is_failback, now))
+        # No state is sent, as a probe does not open a session.
         stream.open(messages.DaemonMessage(probe=True))
 
-    def _on_scout_answer(self, scout: Scout, message: messages.ControlMessage, now: float) -> None:
-        """Note an instance that has a leader; one that has none is no better than the present one.
+    def _on_probe_answer(self, probe: FreshnessProbe, message: messages.ControlMessage, now: float) -> None:
+        """Handle the answer to a probe: remember or switch to an instance that is fresh and up to date.
 
-        Where it is not the own zone's, the move waits for the next tick: instances hear
-        of a new leader within a few milliseconds of each other, and a herd that moved
-        then would leave sources that are as good.
+        Apart from a return to the own zone, the switch waits for the next tick. Instances hear a
+        new leader within milliseconds of each other, so switching at once would make many
+        daemons leave sources that are about to be just as fresh.
         """
         if not message.HasField("heartbeat"):
             return
-        self._scouts.end(scout)
+        self._probes.end(probe)
         heartbeat = message.heartbeat
         is_fresh = heartbeat.staleness_ms <= 1000 * self._freshness.limit
         if self._stream is None or not is_fresh:
@@ -221,26 +227,26 @@
         newest, _ = self._view.newer_version(now)
         if heartbeat.accepted_version < max(newest, self._holder.in_force_version.number):
             return
-        self._answered_in = now - scout.started_at
-        if scout.is_failback:
-            self._move(scout.address, "failback", now)
+        self._probe_duration = now - probe.started_at
+        if probe.is_failback:
+            self._switch_to(probe.address, "failback", now)
         else:
-            self._better = scout.address
+            self._fresher_address = probe.address
 
-    def _move(self, address: Address, reason: str, now: float) -> None:
-        """Take versions from another control instance."""
+    def _switch_to(self, address: Address, reason: str, now: float) -> None:
+        """Replace the source by another control instance."""
         stream = self._drop_stream()
-        self._scouts.end_all()
+        self._probes.end_all()
         self._events.emit(Event.SOURCE_LOST, address=stream.address, reason=reason)
         self._search.move_to(address, now)
         self._connect(now)
 
     def _connect(self, now: float) -> None:
         self._stream = self._transport.open_source(self, self._search.address())
-        self._stream.connect_limit = max(CONNECT_TIMEOUT * self._doubled(), 2 * self._answered_in)
+        self._stream.connect_limit = max(CONNECT_TIMEOUT * self._timeout_factor(), 2 * self._probe_duration)
         self._stream.heard_at = self._opened_at = now
         self._lag.source_version = 0
-        self._report.ask_floor_again()
+        self._report.abandon_floor_request()
         first = self._make_message(with_state=True, is_first=True, now=now)
         first.failed_relays.extend(self._search.failed_relays(now))
         if self._relay is not None:
@@ -249,7 +255,7 @@
         self._stream.open(first)
 
     def _make_message(self, with_state: bool, is_first: bool, now: float) -> messages.DaemonMessage:
-        return self._report.make(self._search.relay_name(), self._wants_floor(), with_state, is_first, now)
+        return self._report.make_message(self._search.relay_name(), self._wants_floor(), with_state, is_first, now)
 
     def _wants_floor(self) -> bool:
         is_confirmed = self._holder.is_floor_confirmed
@@ -257,15 +263,15 @@
 
     def _drop_stream(self) -> SourceStream:
         stream, self._stream = self._stream, None
-        self._better = None
+        self._fresher_address = None
         stream.close()
         return stream
 
     def _leave_source(self, reason: str) -> None:
-        """Look for another source. What is held stays in force."""
+        """Drop the source and schedule a connection to the next one; the version held stays in force."""
         stream = self._drop_stream()
-        self._scouts.end_all()
-        self._answered_in = 0.0
+        self._probes.end_all()
+        self._probe_duration = 0.0
         now = monotonic()
         self._connect_at = now + self._search.note_failure(now, self._view.bind() is None)
         self._events.emit(Event.SOURCE_LOST, address=stream.address, reason=reason)
@@ -273,14 +279,14 @@
     def _on_source_ended(self, item: SourceEnded) -> None:
         if item.stream is self._stream:
             self._leave_source(item.reason)
-        elif (scout := self._scouts.find(item.stream)) is not None:
-            self._scouts.end(scout)
+        elif (probe := self._probes.find(item.stream)) is not None:
+            self._probes.end(probe)
 
     def _on_source_sent(self, item: SourceSent) -> None:
         now = monotonic()
-        scout = self._scouts.find(item.stream)
-        if scout is not None:
-            self._on_scout_answer(scout, item.message, now)
+        probe = self._probes.find(item.stream)
+        if probe is not None:
+            self._on_probe_answer(probe, item.message, now)
             return
         if item.stream is not self._stream:
             return
@@ -316,7 +322,7 @@
             self._events.emit(Event.SOURCE_FOUND, address=stream.address, relay=relay)
 
     def _on_referral(self, message: messages.ControlMessage, now: float) -> None:
-        """Go where the source refers to, or come back when it says."""
+        """Follow a redirect to a relay, or reconnect after the time that a refusal gives."""
         self._drop_stream()
         if message.HasField("redirect"):
             redirect = message.redirect
@@ -331,7 +337,7 @@
         self._view.take_endpoints(update)
         for endpoint in update.changed:
             if endpoint.instance == self._settings.name:
-                self._state.outlive(endpoint.incarnation)
+                self._state.ensure_later_incarnation(endpoint.incarnation)
                 if self._view.upstream is not None:
                     self._view.upstream.learn_version(endpoint.version)
                 if self._registrar is not None:
@@ -347,7 +353,7 @@
             self._relay.set_canary_plan(plan)
 
     def _on_floor(self, floor: messages.Floor) -> None:
-        if not self._report.answers_floor(floor):
+        if not self._report.take_floor_answer(floor):
             return
         was_ready = self._holder.is_ready
         self._holder.confirm_floor(floor.version)
@@ -369,7 +375,7 @@
     # ----------------------------------------------------------------- advance
 
     def _advance(self) -> None:
-        """Report to the source what has changed, and send daemons downstream what they lack."""
+        """Report changes to the source, and send pending messages to downstream daemons."""
         now = monotonic()
         if self._relay is not None:
             self._refresh_source()
@@ -389,11 +395,11 @@
         self._stream.send(message)
 
     def _relayed_freshness(self, now: float) -> tuple[int, float]:
-        """Return the freshness that is reported to daemons downstream; see `SessionRegistry.send_heartbeats`."""
+        """Return the version and staleness (in seconds) reported downstream; see `SessionRegistry.send_heartbeats`."""
         return self._holder.in_force_version.number, self._freshness.age(now)
 
     def _refresh_source(self) -> None:
-        """Let the relay pass on what this daemon holds."""
+        """Pass the versions that this daemon holds to the relay."""
         holder = self._holder
         accepted = holder.in_force.tree if holder.in_force else None
         staged = holder.staged.tree if holder.staged else None
--- a/packages/lanedock-daemon/lanedock_daemon/agent/tests/relays.py
+++ b/packages/lanedock-daemon/lanedock_daemon/agent/tests/relays.py
@@ -27,7 +27,7 @@
     sessions : dict of SourceStream to Session
     """
 
-    is_dark = is_refusing = False
+    is_blackholed = is_refusing = False
 
     def __init__(self, mesh: VirtualMesh, folder, rng: Random):
         self.sessions: dict[SourceStream, _Session] = {}
--- a/packages/lanedock-daemon/lanedock_daemon/agent/tests/sources.py
+++ b/packages/lanedock-daemon/lanedock_daemon/agent/tests/sources.py
@@ -68,7 +68,7 @@
 
     Attributes
     ----------
-    is_dark : bool
+    is_blackholed : bool
         What is sent to it, and what it sends, is swallowed.
     is_paused : bool
         Connections are made by its machine, and nothing is answered.
@@ -80,25 +80,25 @@
         Whether versions that it sends arrive.
     silent_streams : set of SourceStream
         What goes over these is swallowed.
-    led_until : float or None
+    cut_off_at : float or None
         Since when it is cut off from the leader; what is accepted after it is not known here.
     """
 
     def __init__(self, mesh: "VirtualMesh", address: Address, phase: float):
         self.mesh = mesh
         self.address = address
-        self.is_dark = self.is_paused = self.is_refusing = False
+        self.is_blackholed = self.is_paused = self.is_refusing = False
         self.is_lagging = False
         self.is_delivering = True
         self.silent_streams: set[_VirtualStream] = set()
-        self.led_until: float | None = None
+        self.cut_off_at: float | None = None
         self.distributor = Distributor()
         self.sessions: dict[_VirtualStream, Child] = {}
         mesh.at(mesh.clock.now + phase, self._beat)
 
     def answers(self) -> bool:
         """Tell whether its process runs and can be reached."""
-        return not (self.is_dark or self.is_paused or self.is_refusing)
+        return not (self.is_blackholed or self.is_paused or self.is_refusing)
 
     def end_sessions(self) -> None:
         """Reset all streams, as a process does that ends."""
@@ -108,7 +108,7 @@
 
     def set_accepted(self, tree) -> None:
         """Learn of an accepted version, unless cut off from the leader."""
-        if self.led_until is None and not self.is_lagging:
+        if self.cut_off_at is None and not self.is_lagging:
             self.distributor.set_source(VersionSource(tree))
             self.flush()
 
@@ -117,7 +117,7 @@
         if self.mesh.accepted is not None:
             self.set_accepted(self.mesh.accepted)
 
-    def say_fresh(self) -> None:
+    def send_heartbeats_now(self) -> None:
         """Send a heartbeat at once, as one does that has heard of a new leader."""
         for stream in self.sessions:
             self.send(stream, [self._make_heartbeat()])
@@ -137,7 +137,7 @@
         self.silent_streams.update(self.sessions)
 
     def _deliver(self, stream: "_VirtualStream", message: messages.ControlMessage) -> None:
-        if not (self.is_dark or stream in self.silent_streams):
+        if not (self.is_blackholed or stream in self.silent_streams):
             stream.post(SourceSent(stream, message))
 
     def receive(self, stream: "_VirtualStream", message: messages.DaemonMessage) -> None:
@@ -157,7 +157,7 @@
         elif message.HasField("state"):
             self.distributor.update(child, message.state)
         self.send(stream, self.distributor.due(child))
-        if message.floor_token and self.led_until is None:
+        if message.floor_token and self.cut_off_at is None:
             floor = messages.ControlMessage()
             floor.floor.token = message.floor_token
             floor.floor.version = self.distributor.source.accepted.number
@@ -179,8 +179,8 @@
         message = messages.ControlMessage()
         accepted = self.distributor.source.accepted
         message.heartbeat.accepted_version = accepted.number if accepted else 0
-        if self.led_until is not None:
-            message.heartbeat.staleness_ms = int(1000 * (self.mesh.clock.now - self.led_until))
+        if self.cut_off_at is not None:
+            message.heartbeat.staleness_ms = int(1000 * (self.mesh.clock.now - self.cut_off_at))
         return message
 
     def _beat(self) -> None:
@@ -201,7 +201,7 @@
 
     def open(self, first: messages.DaemonMessage) -> None:
         control = self._mesh.instances[self.address]
-        if control.is_dark:
+        if control.is_blackholed:
             self._mesh.at(self._mesh.clock.now + self.connect_limit, self._end)
         elif control.is_refusing:
             self._mesh.at(self._mesh.clock.now + 2 * _DELAY, self._end)
--- a/packages/lanedock-daemon/lanedock_daemon/agent/tests/test_scouting.py
+++ b/packages/lanedock-daemon/lanedock_daemon/agent/tests/test_scouting.py
@@ -7,7 +7,7 @@
 import pytest
 
 from lanedock.settings import Address
-from lanedock_daemon.agent.scouting import ROUND_WAIT_MAX, ScoutRounds, SourceFreshness
+from lanedock_daemon.agent.scouting import ROUND_WAIT_MAX, ProbeSchedule, SourceFreshness
 
 OTHERS = [Address("10.0.1.1", 7000), Address("10.0.2.1", 7000)]
 
@@ -16,21 +16,21 @@
     freshness = SourceFreshness(1.0, 10.0)
     freshness.note(0.2, 11.0)
     assert freshness.age(11.0) == pytest.approx(0.2)
-    assert not freshness.is_over(11.7)
-    assert freshness.is_over(11.9)
+    assert not freshness.is_exceeded(11.7)
+    assert freshness.is_exceeded(11.9)
 
 
 def test_a_source_that_has_a_leader_again_is_fresh_at_once():
     freshness = SourceFreshness(1.0, 10.0)
     freshness.note(16.0, 30.0)
-    assert freshness.is_over(30.0)
+    assert freshness.is_exceeded(30.0)
     freshness.note(0.1, 30.1)
-    assert not freshness.is_over(30.5)
+    assert not freshness.is_exceeded(30.5)
 
 
 def _rounds(seed: int) -> list[tuple[float, Address]]:
     """Ask for a minute, and return whom, and when."""
-    rounds = ScoutRounds(Random(seed))
+    rounds = ProbeSchedule(Random(seed))
     asked = []
     for step in range(600):
         address = rounds.choose(OTHERS, step / 10)
@@ -55,7 +55,7 @@
 
 
 def test_a_fresh_source_begins_the_rounds_anew():
-    rounds = ScoutRounds(Random(1))
+    rounds = ProbeSchedule(Random(1))
     for step in range(200):
         rounds.choose(OTHERS, step / 10)
     rounds.reset()
--- a/packages/lanedock-daemon/lanedock_daemon/agent/tests/test_search.py
+++ b/packages/lanedock-daemon/lanedock_daemon/agent/tests/test_search.py
@@ -79,14 +79,14 @@
 
 
 def test_the_others_are_asked_before_the_present_source(search):
-    assert search.scouted(CONTROL[0]) == [*CONTROL[1:], CONTROL[0]]
-    assert search.scouted(CONTROL[1]) == [CONTROL[2], CONTROL[0], CONTROL[1]]
+    assert search.probe_order(CONTROL[0]) == [*CONTROL[1:], CONTROL[0]]
+    assert search.probe_order(CONTROL[1]) == [CONTROL[2], CONTROL[0], CONTROL[1]]
 
 
 def test_all_are_asked_where_the_present_source_is_none_of_the_known_ones(search):
-    assert search.scouted(RELAY) == CONTROL
+    assert search.probe_order(RELAY) == CONTROL
     search.set_seeds(CONTROL[1:])
-    assert search.scouted(CONTROL[0]) == CONTROL[1:]
+    assert search.probe_order(CONTROL[0]) == CONTROL[1:]
 
 
 def test_a_relay_that_is_left_for_a_fresher_source_is_named_to_control(search):
--- a/packages/lanedock-daemon/lanedock_daemon/agent/tests/test_source_loss.py
+++ b/packages/lanedock-daemon/lanedock_daemon/agent/tests/test_source_loss.py
@@ -40,7 +40,7 @@
 
 
 def _go_silent(source: ControlInstance) -> None:
-    source.is_dark = True
+    source.is_blackholed = True
 
 
 def _pause(source: ControlInstance) -> None:
@@ -53,7 +53,7 @@
 
 
 def _cut_off(source: ControlInstance) -> None:
-    source.led_until = source.mesh.clock.now
+    source.cut_off_at = source.mesh.clock.now
 
 
 def _silence_streams(source: ControlInstance) -> None:
@@ -61,9 +61,9 @@
 
 
 def _rejoin(source: ControlInstance) -> None:
-    source.led_until = None
+    source.cut_off_at = None
     source.catch_up()
-    source.say_fresh()
+    source.send_heartbeats_now()
 
 
 def _settle(mesh: VirtualMesh) -> None:
--- a/packages/lanedock-daemon/lanedock_daemon/agent/tests/test_suspension.py
+++ b/packages/lanedock-daemon/lanedock_daemon/agent/tests/test_suspension.py
@@ -47,7 +47,7 @@
 
 def test_a_source_that_was_lost_meanwhile_is_left(mesh):
     former = mesh.source()
-    mesh.at(mesh.clock.now + 0.5, setattr, former, "is_dark", True)
+    mesh.at(mesh.clock.now + 0.5, setattr, former, "is_blackholed", True)
     mesh.suspend(2.0)
     mesh.accept(2)
     mesh.run(2.0, lambda: mesh.in_force() == 2)
--- a/packages/lanedock-daemon/lanedock_daemon/agent/tests/test_view.py
+++ b/packages/lanedock-daemon/lanedock_daemon/agent/tests/test_view.py
@@ -6,7 +6,7 @@
 from lanedock.clock import monotonic
 from lanedock.config import split_config
 from lanedock.wire import messages
-from lanedock_daemon.agent.view import LACKING_KEPT, LocalView
+from lanedock_daemon.agent.view import MISSING_ENDPOINT_RETENTION, LocalView
 
 
 def _update(upstream, incarnation, revision, whole=False):
@@ -60,7 +60,7 @@
     assert _chosen(view) == {"a", "b"}
     view.expire_endpoints(monotonic())
     assert _chosen(view) == {"a", "b"}
-    view.expire_endpoints(monotonic() + LACKING_KEPT)
+    view.expire_endpoints(monotonic() + MISSING_ENDPOINT_RETENTION)
     assert _chosen(view) == set()
 
 
--- a/packages/lanedock-daemon/lanedock_daemon/agent/versions.py
+++ b/packages/lanedock-daemon/lanedock_daemon/agent/versions.py
@@ -1,5 +1,5 @@
 # SPDX-License-Identifier: BSD-3-Clause
-"""What a source sends of versions, put into the holder, and how far the daemon is behind others."""
+"""Application of the versions that a source sends, and detection of versions that are overdue."""
 
 from lanedock.rollout import VersionHolder
 from lanedock.telemetry import Event, EventLogger, Metric, Metrics
@@ -8,13 +8,13 @@
 
 __all__ = ["VersionLag", "VersionReceiver"]
 
-# A version that others use and that has not come for this long, in seconds, is logged;
-# versions come within 0.2 s to 99 in 100 daemons under load.
+# Seconds after which a version that other daemons use and this one lacks is overdue. Under load,
+# 99 of 100 daemons receive a version within 0.2 s.
 BEHIND_LIMIT = 0.5
 
 
 class VersionReceiver:
-    """Stages, activates and discards versions as the source says, and publishes what is in force.
+    """Stages, activates and discards versions on behalf of the source, and publishes the one in force.
 
     Parameters
     ----------
@@ -30,7 +30,7 @@
         self._metrics = metrics
 
     def receive(self, message: messages.ControlMessage) -> bool:
-        """Apply a source's message; False where it is about something else."""
+        """Apply a message of the source; returns False if it does not concern versions."""
         body = message.WhichOneof("body")
         if body == "in_force":
             self._swap(lambda: self._holder.put_in_force(message.in_force))
@@ -45,6 +45,7 @@
         return True
 
     def _swap(self, change) -> None:
+        """Apply a change to the holder and publish the version in force if it differs."""
         before = self._holder.in_force
         dropped = self._holder.dropped
         change()
@@ -64,7 +65,7 @@
 
 
 class VersionLag:
-    """How far this daemon is behind the version that others use.
+    """Detects that this daemon lacks a version that other daemons use.
 
     Parameters
     ----------
@@ -75,7 +76,7 @@
     Attributes
     ----------
     source_version : int
-        Newest accepted version that the source has reported; 0 before it has.
+        Number of the newest accepted version that the source has reported; 0 before its first report.
     """
 
     def __init__(self, view: LocalView, events: EventLogger, metrics: Metrics):
@@ -85,17 +86,17 @@
         self._logged = 0
         self.source_version = 0
 
-    def note(self, now: float, heard_at: float | None, staleness: float) -> None:
-        """Log once each version that others use and that does not come.
+    def update(self, now: float, heard_at: float | None, staleness: float) -> None:
+        """Update the metric of the lag, and log each overdue version once.
 
         Parameters
         ----------
         now : float
-            Monotonic, seconds.
+            Monotonic time, in seconds.
         heard_at : float or None
-            When the source was heard last, monotonic, seconds; None where there is none.
+            Monotonic time of the last message from the source, in seconds; None without a source.
         staleness : float
-            For how long no leader is known to have been heard, in seconds.
+            Time since the leader was last known to be heard, in seconds.
         """
         newer, seconds = self._view.newer_version(now)
         self._metrics.gauge(Metric.BEHIND, seconds)
@@ -111,7 +112,10 @@
             staleness_ms=round(1000 * staleness),
         )
 
-    def is_at_source(self, now: float) -> bool:
-        """Tell whether the source itself lacks a version that others use: a fresh one may, whose log lags."""
+    def is_source_behind(self, now: float) -> bool:
+        """Return whether the source itself lacks an overdue version.
+
+        A source that hears the leader may lack it, too, when its log lags behind.
+        """
         newer, seconds = self._view.newer_version(now)
         return seconds > BEHIND_LIMIT and self.source_version < newer
--- a/packages/lanedock-daemon/lanedock_daemon/agent/watch.py
+++ b/packages/lanedock-daemon/lanedock_daemon/agent/watch.py
@@ -1,5 +1,5 @@
 # SPDX-License-Identifier: BSD-3-Clause
-"""The client side of a gRPC stream from a source of versions."""
+"""Client side of the gRPC stream from a source of versions."""
 
 import asyncio
 
@@ -15,11 +15,12 @@
 
 __all__ = ["GrpcSource"]
 
+# Longest time to connect and send the first message, in seconds.
 CONNECT_TIMEOUT = 2.0
 
 
 class GrpcSource(SourceStream):
-    """One stream from a source.
+    """A gRPC stream from a source of versions.
 
     Parameters
     ----------
