--- a/packages/lanedock-daemon/lanedock_daemon/agent/tests/relays.py
+++ b/packages/lanedock-daemon/lanedock_daemon/agent/tests/relays.py
@@ -1,5 +1,5 @@
 # SPDX-License-Identifier: BSD-3-Clause
-"""A daemon that is another one's source, in virtual time."""
+"""Simulation of a relay daemon in virtual time."""
 
 from random import Random
 
@@ -20,7 +20,7 @@
 
 
 class _Relay(VirtualDaemon):
-    """What another daemon's stream finds at its address.
+    """A relay, which is the source of another daemon.
 
     Attributes
     ----------
@@ -37,11 +37,11 @@
         super().__init__(mesh, load_settings(str(path)), rng)
 
     def serve_daemons(self, owner, address: Address) -> "_Relay":
-        """Stand in for the transport, and for its listener."""
+        """Replace the method of the transport and the listener that it returns."""
         return self
 
     def set_accepted(self, tree) -> None:
-        """Nothing to do: it takes versions from a control instance."""
+        """Do nothing: the relay receives versions from a control instance."""
 
     def receive(self, stream: SourceStream, message: messages.DaemonMessage) -> None:
         session = self.sessions.get(stream)
@@ -69,7 +69,7 @@
 
 
 class RelayMesh(VirtualMesh):
-    """Control instances, a relay to which they refer daemons, and one daemon."""
+    """Control instances, a relay to which they redirect, and one daemon."""
 
     def __init__(self, monkeypatch, folder, seed: int):
         super().__init__(monkeypatch, folder, seed, has_relay=True)
@@ -77,5 +77,5 @@
         self.instances[self.relay] = _Relay(self, folder, Random(seed))
 
     def suspend_relay(self, seconds: float) -> None:
-        """Suspend the relay's instance from now on."""
+        """Suspend the relay's instance for a time, in seconds, from now on."""
         self.instances[self.relay].suspend(seconds)
--- a/packages/lanedock-daemon/lanedock_daemon/agent/tests/sources.py
+++ b/packages/lanedock-daemon/lanedock_daemon/agent/tests/sources.py
@@ -1,5 +1,5 @@
 # SPDX-License-Identifier: BSD-3-Clause
-"""Control instances and a daemon's agent in virtual time, for tests of sources that are lost."""
+"""Simulation of control instances and a daemon's agent in virtual time, for tests of source loss."""
 
 import heapq
 from itertools import count
@@ -18,9 +18,9 @@
 
 __all__ = ["RELAY", "ControlInstance", "VirtualDaemon", "VirtualMesh", "make_value"]
 
-# The relay's name.
+# Name of the relay in settings and redirects.
 RELAY = "r"
-# One way between availability zones, in seconds.
+# One-way network delay between availability zones, in seconds.
 _DELAY = 0.002
 _SETTINGS = """{
   "name": "d", "zone": "z0", "transport": "framed",
@@ -30,7 +30,7 @@
 
 
 def make_value(version: int) -> dict:
-    """Make an operators' file with one service."""
+    """Return the content of an operators' file with one service."""
     return {
         "mesh": "m",
         "version": version,
@@ -42,14 +42,14 @@
 
 
 class _Clock:
-    """Stands in for `lanedock.clock`.
+    """Virtual replacement of `lanedock.clock`.
 
     Attributes
     ----------
     now : float
-        Seconds that pass for everyone.
+        Virtual time, in seconds.
     suspended : float
-        Those of them in which the daemon's instance was suspended.
+        Total time for which the daemon's instance was suspended, in seconds.
     """
 
     def __init__(self):
@@ -64,24 +64,25 @@
 
 
 class ControlInstance:
-    """A source of versions, and in which way it is lost.
+    """A simulated control instance that can fail in several ways.
 
     Attributes
     ----------
     is_blackholed : bool
-        What is sent to it, and what it sends, is swallowed.
+        All messages to and from it are dropped.
     is_paused : bool
-        Connections are made by its machine, and nothing is answered.
+        Its process is paused: the kernel accepts connections, but nothing is answered.
     is_refusing : bool
-        Its process has ended: connections are refused.
+        Its process has exited: connections are refused.
     is_lagging : bool
-        It hears its leader, and what is accepted does not come.
+        It hears the leader but does not receive newly accepted versions.
     is_delivering : bool
-        Whether versions that it sends arrive.
+        Whether the versions in force that it sends arrive.
     silent_streams : set of SourceStream
-        What goes over these is swallowed.
+        Streams whose messages are dropped, in both directions.
     cut_off_at : float or None
-        Since when it is cut off from the leader; what is accepted after it is not known here.
+        Virtual time at which it was cut off from the leader, in seconds; None while it is connected.
+        It does not learn of versions accepted while cut off.
     """
 
     def __init__(self, mesh: "VirtualMesh", address: Address, phase: float):
@@ -97,33 +98,33 @@
         mesh.at(mesh.clock.now + phase, self._beat)
 
     def answers(self) -> bool:
-        """Tell whether its process runs and can be reached."""
+        """Return whether its process is running and reachable."""
         return not (self.is_blackholed or self.is_paused or self.is_refusing)
 
     def end_sessions(self) -> None:
-        """Reset all streams, as a process does that ends."""
+        """Reset all streams, as happens when a process exits."""
         for stream in list(self.sessions):
             del self.sessions[stream]
             stream.post(SourceEnded(stream, "reset"))
 
     def set_accepted(self, tree) -> None:
-        """Learn of an accepted version, unless cut off from the leader."""
+        """Receive an accepted version, unless cut off from the leader or lagging."""
         if self.cut_off_at is None and not self.is_lagging:
             self.distributor.set_source(VersionSource(tree))
             self.flush()
 
     def catch_up(self) -> None:
-        """Learn of the newest accepted version, as one does that has found its leader again."""
+        """Receive the newest accepted version, as after hearing the leader again."""
         if self.mesh.accepted is not None:
             self.set_accepted(self.mesh.accepted)
 
     def send_heartbeats_now(self) -> None:
-        """Send a heartbeat at once, as one does that has heard of a new leader."""
+        """Send a heartbeat on all sessions at once, as after hearing a new leader."""
         for stream in self.sessions:
             self.send(stream, [self._make_heartbeat()])
 
     def flush(self) -> None:
-        """Send every daemon what it lacks."""
+        """Send pending messages to every daemon."""
         for stream, child in self.sessions.items():
             self.send(stream, self.distributor.due(child))
 
@@ -133,7 +134,7 @@
                 self.mesh.at(self.mesh.clock.now + self.mesh.link_delay, self._deliver, stream, message)
 
     def silence_streams(self) -> None:
-        """Swallow what goes over the streams there are, while new ones work."""
+        """Drop the messages of all present streams; streams opened later work."""
         self.silent_streams.update(self.sessions)
 
     def _deliver(self, stream: "_VirtualStream", message: messages.ControlMessage) -> None:
@@ -164,7 +165,7 @@
             self.send(stream, [floor])
 
     def _refer(self, stream: "_VirtualStream", message: messages.DaemonMessage) -> bool:
-        """Refer a daemon to the relay, if there is one that hasn't failed it."""
+        """Redirect a daemon to the relay, unless the daemon is the relay or reports it as failed."""
         relay = self.mesh.relay
         if relay in (None, self.address) or RELAY in (message.state.daemon, *message.failed_relays):
             return False
@@ -191,7 +192,7 @@
 
 
 class _VirtualStream(SourceStream):
-    """The daemon's end of a stream."""
+    """The daemon's end of a simulated stream."""
 
     def __init__(self, owner, address: Address, daemon: "VirtualDaemon"):
         super().__init__(owner, address)
@@ -221,7 +222,7 @@
 
 
 class VirtualDaemon:
-    """A daemon's agent, and what it finds around it.
+    """A daemon's agent with stand-ins for its kernel and transport.
 
     Parameters
     ----------
@@ -245,20 +246,20 @@
         mesh.at(mesh.clock.now + rng.uniform(0, service_module.TICK), self._tick)
 
     def find(self, name: str) -> "VirtualDaemon":
-        """Stand in for the kernel: everything is found here."""
+        """Replace `Kernel.find`: this object is every service."""
         return self
 
     def open_source(self, owner, address: Address) -> _VirtualStream:
-        """Stand in for the transport."""
+        """Replace the method of the transport."""
         return _VirtualStream(owner, address, self)
 
     def suspend(self, seconds: float) -> None:
-        """Suspend its instance from now on."""
+        """Suspend the daemon's instance for a time, in seconds, from now on."""
         self._resumes_at = self.mesh.clock.now + seconds
 
     def post(self, message: object) -> None:
         if self.mesh.clock.now < self._resumes_at:
-            # It lies in a socket until the daemon runs again.
+            # The message stays in a socket buffer until the daemon runs again.
             self.mesh.at(self._resumes_at, self.post, message)
         else:
             self.agent.on_messages([message])
@@ -272,29 +273,29 @@
 
 
 class VirtualMesh:
-    """Control instances and one daemon. Nothing waits: the clock jumps.
+    """Control instances and one daemon in virtual time, which jumps from event to event.
 
     Parameters
     ----------
     monkeypatch : pytest.MonkeyPatch
     folder : pathlib.Path
-        For the daemon's settings.
+        Directory for the daemon's settings.
     seed : int
     size : int
-        Number of control instances, each of another availability zone.
+        Number of control instances, each in an availability zone of its own.
     has_relay : bool
-        Whether they refer the daemon to a relay, which is one more source in `instances`.
+        Whether they redirect the daemon to a relay, which is an additional source in `instances`.
 
     Attributes
     ----------
     daemon : VirtualDaemon
     relay : Address or None
     phase : float
-        Seconds, another with each seed, by which tests shift their events.
+        Offset of the events of a test, in seconds; differs with each seed.
     accepted : ConfigTree or None
         The newest accepted version.
     link_delay : float
-        How long what control instances send is on its way, in seconds.
+        Delay of messages from control instances, in seconds.
     """
 
     def __init__(self, monkeypatch, folder, seed: int, size: int = 3, has_relay: bool = False):
@@ -320,13 +321,13 @@
         self.daemon = VirtualDaemon(self, load_settings(str(path)), rng)
         self.view, self.agent = self.daemon.view, self.daemon.agent
 
-    # ----------------------------------------------------------------- the time
+    # ------------------------------------------------------------- virtual time
 
     def at(self, when: float, function, *arguments) -> None:
         heapq.heappush(self._queue, (when, next(self._order), function, arguments))
 
     def suspend(self, seconds: float) -> None:
-        """Suspend the daemon's instance, and let that time pass; the others run on."""
+        """Suspend the daemon's instance and advance the time by `seconds`; the control instances keep running."""
         resumes_at = self.clock.now + seconds
         self.daemon.suspend(seconds)
         while self._queue and self._queue[0][0] < resumes_at:
@@ -337,7 +338,7 @@
         self.clock.suspended += seconds
 
     def run(self, seconds: float, until=lambda: False) -> float:
-        """Let time pass until a condition holds; returns how long it took, in seconds."""
+        """Advance the time by `seconds` or until a condition holds; returns the elapsed seconds."""
         started = self.clock.now
         while self._queue and self._queue[0][0] <= started + seconds and not until():
             when, _, function, arguments = heapq.heappop(self._queue)
@@ -347,18 +348,18 @@
             self.clock.now = started + seconds
         return self.clock.now - started
 
-    # ------------------------------------------------------------- what happens
+    # ------------------------------------------------------- events and queries
 
     def source(self) -> ControlInstance:
-        """Return the instance from which the daemon takes versions."""
+        """Return the present source of the daemon."""
         return self.instances[self.agent._stream.address]
 
     def accept(self, version: int) -> None:
-        """Accept a version: all instances that the leader reaches learn of it."""
+        """Accept a version and send it to all instances that the leader reaches."""
         self.accepted = tree = split_config(make_value(version))
         for instance in self.instances.values():
             instance.set_accepted(tree)
 
     def in_force(self) -> int:
-        """Return the number of the version by which the daemon serves."""
+        """Return the number of the version in force on the daemon."""
         return self.view.holder.in_force_version.number
--- a/packages/lanedock-daemon/lanedock_daemon/agent/tests/test_canaries.py
+++ b/packages/lanedock-daemon/lanedock_daemon/agent/tests/test_canaries.py
@@ -1,5 +1,5 @@
 # SPDX-License-Identifier: BSD-3-Clause
-"""What a daemon does with plans of canary releases, and what it reports of them."""
+"""Tests of how a daemon applies canary plans and what it reports about canaries."""
 
 import pytest
 
@@ -32,7 +32,7 @@
     return {stats.endpoint.instance for stats in chosen if stats is not None}
 
 
-def test_a_plan_holds_for_upstreams_known_before_and_after():
+def test_a_plan_applies_to_upstreams_known_before_and_after_it():
     view = _view()
     view.take_endpoints(messages.EndpointUpdate(changed=[_endpoint("old", "v1"), _endpoint("new", "v2")]))
     assert _chosen(view) == {"old", "new"}
@@ -44,7 +44,7 @@
     assert (_chosen(view), _chosen(view, Pool.CANARY)) == ({"old"}, set())
 
 
-def test_an_older_plan_is_not_followed():
+def test_an_older_plan_is_ignored():
     view = _view()
     assert view.follow_canaries(_plan(5, withheld=["v2"]))
     assert not view.follow_canaries(_plan(4, canary="v2", share_permille=1000))
@@ -60,14 +60,14 @@
         ("v1", {"withheld": ["v1"]}, False),
     ],
 )
-def test_an_upstream_that_gets_nothing_more_reports_that_it_still_works(version, rule, is_busy):
+def test_only_a_displaced_upstream_with_requests_in_progress_is_reported_as_busy(version, rule, is_busy):
     view = _view(version)
     view.set_work(_Work())
     view.follow_canaries(_plan(1, **rule))
     assert view.is_displaced_busy() is is_busy
 
 
-def test_a_version_is_unknown_from_a_health_check_until_it_is_reported():
+def test_the_version_of_an_upstream_adopted_without_one_is_unknown_until_reported():
     registration = UpstreamRegistration("s", True, 1.0)
     assert registration.adopt("i-1", "s", False, 4, 0.0)
     assert registration.version == UNKNOWN_VERSION
@@ -76,7 +76,7 @@
     assert (registration.version, registration.revision > before) == ("v2", True)
 
 
-def test_a_change_of_version_is_reported():
+def test_a_heartbeat_with_a_new_version_is_a_change():
     registration = UpstreamRegistration("s", True, 1.0)
     registration.adopt("i-1", "s", False, 4, 0.0)
     assert registration.beat(Heartbeat("i-1", "s", 1, False, 4, 0.0, 0, "v2"), 0.1)
--- a/packages/lanedock-daemon/lanedock_daemon/agent/tests/test_registration.py
+++ b/packages/lanedock-daemon/lanedock_daemon/agent/tests/test_registration.py
@@ -1,10 +1,9 @@
 # SPDX-License-Identifier: BSD-3-Clause
-"""Tests of applications' registration over HTTP.
+"""Tests of the registration of applications over HTTP.
 
-Heartbeats of an application whose HTTP client sends a body apart from its head, in
-pieces or in chunks, were refused as malformed: it was never registered, and got no work.
-
-Cause: a body's read returns what has come, and only the first piece was read.
+The tests guard against refusing a valid heartbeat whose body arrives after its head, in
+several pieces or chunks. `Body.read` returns only the data that has arrived, so a single
+read yields a truncated body; the application is then never registered and gets no requests.
 """
 
 import json
@@ -22,7 +21,7 @@
 
 HOST = "127.0.0.1"
 BODY = json.dumps({"service": "s", "sequence": 4}).encode()
-# Seconds between two pieces; the server has read the one by then.
+# Seconds between two pieces, long enough for the server to read each on its own.
 PAUSE = 0.05
 
 
@@ -33,7 +32,7 @@
 
 @pytest.fixture
 def answer():
-    """Return what sends a heartbeat in pieces, and returns its answer's first line."""
+    """Return a function that sends a heartbeat in pieces and returns the status line of the answer."""
     server = PathServer("registration", Address(HOST, 0), _make_side(), StopPlan(), EventLogger("d"))
     server.start(None)
 
@@ -65,7 +64,7 @@
         ("Transfer-Encoding: chunked", (_make_chunk(BODY[:7]), _make_chunk(BODY[7:]), _make_chunk(b""))),
     ],
 )
-def test_a_heartbeat_in_pieces_is_acknowledged(answer, framing, pieces):
+def test_a_heartbeat_with_its_body_in_pieces_is_acknowledged(answer, framing, pieces):
     assert answer(framing, *pieces) == b"HTTP/1.1 204 No Content"
 
 
@@ -76,5 +75,5 @@
         return b" " * size
 
 
-def test_a_heartbeat_without_end_is_refused():
+def test_a_heartbeat_with_an_endless_body_is_refused():
     assert _make_side().handle(Request("PUT", "/upstreams/i-1", "h", [], _Endless())).status == 413
--- a/packages/lanedock-daemon/lanedock_daemon/agent/tests/test_search.py
+++ b/packages/lanedock-daemon/lanedock_daemon/agent/tests/test_search.py
@@ -18,7 +18,7 @@
     return SourceSearch(CONTROL, Random(1))
 
 
-def test_the_own_zone_is_tried_first_and_the_others_in_turn(search):
+def test_control_instances_are_tried_in_turn_starting_with_the_own_zone(search):
     seen = []
     for _ in range(4):
         seen.append(search.address())
@@ -26,21 +26,21 @@
     assert seen == [*CONTROL, CONTROL[0]]
 
 
-def test_waits_grow_and_are_spread_over_the_whole_range():
+def test_waits_grow_up_to_the_maximum_with_full_jitter():
     waits = [[] for _ in range(8)]
     for seed in range(300):
         one = SourceSearch(CONTROL, Random(seed))
         for number in range(8):
             waits[number].append(one.note_failure(0.0))
     longest = [max(each) for each in waits]
-    # The first three lie below the cap, the others reach it.
+    # The first three waits are below the maximum, the others reach it.
     assert longest[:4] == sorted(longest[:4])
     assert all(0.9 * BACKOFF_MAX < top <= BACKOFF_MAX for top in longest[3:])
-    # Full jitter: some come back almost at once, whatever the backoff.
+    # Full jitter: some waits are almost zero, whatever the backoff.
     assert all(min(each) < 0.1 * top for each, top in zip(waits, longest, strict=True))
 
 
-def test_a_daemon_that_cannot_serve_waits_for_less():
+def test_a_daemon_that_cannot_serve_waits_for_a_shorter_time():
     waits = []
     for seed in range(300):
         one = SourceSearch(CONTROL, Random(seed))
@@ -49,7 +49,7 @@
     assert min(waits) < 0.1 * URGENT_BACKOFF_MAX
 
 
-def test_a_relay_that_fails_is_named_to_control_and_left(search):
+def test_a_failed_relay_is_abandoned_and_reported_as_failed(search):
     assert search.note_redirect("r1", RELAY) == 0.0
     assert (search.address(), search.relay_name()) == (RELAY, "r1")
     search.note_failure(10.0)
@@ -58,13 +58,13 @@
     assert search.failed_relays(100.0) == []
 
 
-def test_a_told_time_is_kept_and_a_little_spread(search):
+def test_the_retry_time_of_a_refusal_is_kept_with_a_little_jitter(search):
     waits = {search.note_refusal(2.0) for _ in range(20)}
     assert all(2.0 <= wait <= 2.2 for wait in waits)
     assert len(waits) > 10
 
 
-def test_a_daemon_away_from_home_goes_back_less_and_less_often(search):
+def test_probes_of_the_own_zone_become_rarer_until_the_daemon_returns(search):
     search.note_failure(0.0)
     search.note_success(0.0)
     assert not search.is_preferred()
@@ -78,18 +78,18 @@
     assert not search.is_failback_due(1e9)
 
 
-def test_the_others_are_asked_before_the_present_source(search):
+def test_other_control_instances_are_probed_before_the_present_source(search):
     assert search.probe_order(CONTROL[0]) == [*CONTROL[1:], CONTROL[0]]
     assert search.probe_order(CONTROL[1]) == [CONTROL[2], CONTROL[0], CONTROL[1]]
 
 
-def test_all_are_asked_where_the_present_source_is_none_of_the_known_ones(search):
+def test_all_control_instances_are_probed_if_the_present_source_is_not_one_of_them(search):
     assert search.probe_order(RELAY) == CONTROL
     search.set_seeds(CONTROL[1:])
     assert search.probe_order(CONTROL[0]) == CONTROL[1:]
 
 
-def test_a_relay_that_is_left_for_a_fresher_source_is_named_to_control(search):
+def test_a_relay_abandoned_for_a_fresher_source_is_reported_as_failed(search):
     search.note_redirect("r1", RELAY)
     search.move_to(CONTROL[1], 10.0)
     assert (search.address(), search.relay_name()) == (CONTROL[1], "")
--- a/packages/lanedock-daemon/lanedock_daemon/agent/tests/test_source_loss.py
+++ b/packages/lanedock-daemon/lanedock_daemon/agent/tests/test_source_loss.py
@@ -1,27 +1,14 @@
 # SPDX-License-Identifier: BSD-3-Clause
-"""A daemon whose source of versions is lost while operators apply changes.
-
-What users saw: an operator applied a change and was answered that it is accepted. More
-than two seconds later one entry still answered 404 for a route that the change had added.
-
-Order of events: the control instance of an availability zone was cut off from the
-others, which its daemons could reach all the while. The leader answered the operator
-after its short wait for daemons that had not reported the version. The daemon stayed
-with the instance that was cut off.
-
-Cause: the limits by which a daemon notices that its source is lost were chosen one by
-one: 3.5 s of silence, or 1 s without a leader and a heartbeat's interval of 1 s, then a
-search with growing waits. Their sum was longer than the time within which an accepted
-version has to be in force. After a long time without any leader, patience with a source
-that has none had doubled up to 16 s. By reading, not shown by a test: a daemon that had
-moved away went back to its own zone's instance with or without a leader there.
-
-Evidence: in virtual time, with those limits and 40 seeds, a version was in force up to
-3.95 s after its acceptance where the source had fallen silent, 2.45 s where it had lost
-its leader, 8.0 s where the source and the next instance were paused, and 11.0 s after an
-outage of all leaders. In the record the daemons of the zone that was cut off still held
-the older version when the operator had been answered, and what they had last heard was
-younger than all of these limits.
+"""Tests that an accepted version is in force in time on a daemon that loses its source, in virtual time.
+
+The tests guard against time-outs whose sum exceeds that time: an entry then answers 404 for a
+route more than two seconds after the change that adds it was accepted. This happens when the
+control instance of an availability zone is cut off from the others and its daemons stay with it
+although they can reach the others. Time-outs of 3.5 s of silence, or of 1 s without a leader plus
+a heartbeat interval of 1 s, followed by a search with growing waits, add up to 3.95 s for a silent
+source, 2.45 s for one without a leader and 8.0 s if the source and the next instance are paused.
+A tolerance of sources without a leader that doubles up to 16 s adds up to 11.0 s after an outage
+of all leaders. A daemon must not return to its own zone's instance unless that has a leader, either.
 """
 
 import logging
@@ -30,11 +17,11 @@
 
 from lanedock_daemon.agent.tests.sources import ControlInstance, VirtualMesh
 
-# Seconds after its acceptance in which a version has to be in force on every daemon
-# that can reach a control instance with a leader.
+# Seconds from its acceptance within which a version has to be in force on every daemon that can
+# reach a control instance with a leader.
 IN_FORCE_LIMIT = 2.0
-# Seconds of it that are kept for what virtual time doesn't show: slow instances and
-# full links.
+# Part of the limit, in seconds, reserved for delays that virtual time does not include: slow
+# instances and full links.
 MARGIN = 0.4
 SEEDS = range(40)
 
@@ -47,7 +34,7 @@
     source.is_paused = True
 
 
-def _end(source: ControlInstance) -> None:
+def _exit(source: ControlInstance) -> None:
     source.is_refusing = True
     source.end_sessions()
 
@@ -73,7 +60,7 @@
 
 
 def _time_to(mesh: VirtualMesh, version: int) -> float:
-    """Accept a version; return how long it takes to be in force, in seconds."""
+    """Accept a version; return the time until it is in force, in seconds."""
     mesh.accept(version)
     return mesh.run(60.0, until=lambda: mesh.in_force() >= version)
 
@@ -83,7 +70,7 @@
 
 
 def _lag_behind_others(mesh: VirtualMesh, lose) -> float:
-    """Have a fresh source that lacks the version, by which other daemons send requests."""
+    """Keep a source that hears the leader but lacks a version that other daemons already use."""
     _settle(mesh)
     lose(mesh.source())
     mesh.accept(2)
@@ -98,7 +85,7 @@
 
 
 def _lose_source_and_next(mesh: VirtualMesh, lose, more: int = 1) -> float:
-    """Lose the source, and be kept from the instances that are tried after it."""
+    """Lose the source and the `more` instances that are tried after it."""
     _settle(mesh)
     instances = list(mesh.instances.values())
     position = instances.index(mesh.source())
@@ -108,7 +95,7 @@
 
 
 def _lose_all_leaders(mesh: VirtualMesh, lose) -> float:
-    """Be without any leader for a long time; then all but the present source have one again."""
+    """Lose all leaders for a long time; then all instances but the present source hear one again."""
     _settle(mesh)
     for instance in mesh.instances.values():
         lose(instance)
@@ -121,7 +108,7 @@
 
 
 def _lose_preferred_for_long(mesh: VirtualMesh, lose) -> float:
-    """Be away from the own zone's instance, which accepts connections and has no leader."""
+    """Lose the own zone's instance for a long time; return the longest time until a version is in force."""
     _settle(mesh)
     lose(mesh.source())
     mesh.run(3.0)
@@ -137,13 +124,13 @@
     [
         (_lose_source, _go_silent, 3),
         (_lose_source, _pause, 3),
-        (_lose_source, _end, 3),
+        (_lose_source, _exit, 3),
         (_lose_source, _cut_off, 3),
         (_lose_source, _silence_streams, 3),
         (_lose_source, _silence_streams, 1),
         (_lose_source_and_next, _go_silent, 5),
         (_lose_source_and_next, _pause, 5),
-        (_lose_source_and_next, _end, 5),
+        (_lose_source_and_next, _exit, 5),
         (_lose_source_and_next, _cut_off, 5),
         (_lose_all_leaders, _cut_off, 3),
         (_lose_preferred_for_long, _cut_off, 3),
@@ -156,24 +143,24 @@
 
 
 @pytest.mark.parametrize(("size", "more"), [(5, 1), (7, 2)])
-@pytest.mark.parametrize("lose", [_go_silent, _pause, _end, _cut_off])
-def test_an_accepted_version_is_in_force_in_time_with_as_many_lost_as_may_be(lose, size, more, monkeypatch, tmp_path):
-    """Where the ones that are tried first can't serve either: nothing of the margin is kept."""
+@pytest.mark.parametrize("lose", [_go_silent, _pause, _exit, _cut_off])
+def test_an_accepted_version_is_in_force_in_time_with_the_largest_tolerated_loss(
+    lose, size, more, monkeypatch, tmp_path
+):
+    """The instances that are tried first are lost, too, which uses up the margin."""
     meshes = (VirtualMesh(monkeypatch, tmp_path, seed, size) for seed in SEEDS)
     assert max(_lose_source_and_next(mesh, lose, more) for mesh in meshes) <= IN_FORCE_LIMIT
 
 
 @pytest.mark.parametrize("lose", [_go_silent, _cut_off])
-def test_a_lost_source_is_left_over_a_full_link_too(lose, monkeypatch, tmp_path):
-    """What users saw: with links of 2.3 Mbit/s two entries still answered 404 for an added route.
-
-    Order of events: the control instance of a zone is cut off from the others as it leads. 30
-    of its zone's daemons leave it 0.9 to 1.2 s later. The links of two others are full of bodies,
-    0.2 to 0.6 s of them. These say that they are behind (VERSION_BEHIND, staleness 1.0 s to 2.4 s)
-    and stay for 2.4 s and 3.4 s; then connections to the others end as "timed out".
-
-    Cause: an instance that is asked how fresh it is has 0.25 s to answer, and 0.2 s for the
-    connection, whatever the link needs. So none ever answers in time.
+def test_a_lost_source_is_replaced_over_a_full_link(lose, monkeypatch, tmp_path):
+    """Guards against time-outs of probes that a full link always exceeds.
+
+    On links of 2.3 Mbit/s with 0.2 to 0.6 s of queued request bodies, no probe ever succeeds with
+    0.2 s to connect and 0.25 s to answer. Two such daemons stay 2.4 s and 3.4 s with a control
+    instance that is cut off as it leads (VERSION_BEHIND, staleness 1.0 s to 2.4 s), then fail to
+    connect to the others ("timed out") and answer 404 for an added route. The other 30 daemons of
+    the zone leave the instance after 0.9 to 1.2 s.
     """
     longest = 0.0
     for seed in SEEDS:
@@ -193,7 +180,7 @@
 
 
 def _lose_relay_and_next(mesh: VirtualMesh, lose) -> float:
-    """Lose the relay, and be kept from the control instance that is asked first."""
+    """Lose the relay and the control instance that is probed first."""
     _settle(mesh)
     lose(mesh.source())
     lose(next(iter(mesh.instances.values())))
@@ -203,15 +190,15 @@
 @pytest.mark.parametrize("lose", [_go_silent, _pause, _silence_streams])
 @pytest.mark.parametrize("happen", [_lose_relay, _lose_relay_and_next])
 def test_an_accepted_version_is_in_force_in_time_behind_a_silent_relay(happen, lose, monkeypatch, tmp_path):
-    """Found by adding up: a relay was given time to find another source, also where it said nothing at all."""
+    """Guards against granting a silent relay additional time to find another source."""
     longest = max(happen(VirtualMesh(monkeypatch, tmp_path, seed, has_relay=True), lose) for seed in SEEDS)
     assert longest <= IN_FORCE_LIMIT - MARGIN
 
 
 @pytest.mark.parametrize(
     ("lose", "limit"),
-    # One that says itself that it has no leader has time to find one: none of the margin is kept.
-    [(_end, IN_FORCE_LIMIT - MARGIN), (_cut_off, IN_FORCE_LIMIT)],
+    # A relay that reports that it hears no leader gets time to find one, which uses up the margin.
+    [(_exit, IN_FORCE_LIMIT - MARGIN), (_cut_off, IN_FORCE_LIMIT)],
 )
 @pytest.mark.parametrize("happen", [_lose_relay, _lose_relay_and_next])
 def test_an_accepted_version_is_in_force_in_time_behind_a_lost_relay(happen, lose, limit, monkeypatch, tmp_path):
@@ -219,7 +206,7 @@
     assert longest <= limit
 
 
-def test_a_version_that_waits_on_its_way_is_told_apart_from_a_lost_source(monkeypatch, tmp_path, caplog):
+def test_a_version_delayed_on_the_link_is_logged_and_the_source_is_kept(monkeypatch, tmp_path, caplog):
     mesh = VirtualMesh(monkeypatch, tmp_path, 1)
     _settle(mesh)
     source = mesh.source()
@@ -229,29 +216,29 @@
     mesh.run(2.0)
     lines = [record.msg for record in caplog.records if record.levelno >= logging.WARNING]
     assert [line["message"] for line in lines] == ["VERSION_BEHIND"]
-    # Fresh, and it has the version: what is missing is on its way.
+    # The source is fresh and has the version, so the version is delayed on the link.
     assert lines[0]["source_version"] == lines[0]["newer"] == 2
     assert lines[0]["staleness_ms"] < 1000
     assert mesh.source() is source
 
 
-def _count_moves(caplog) -> int:
+def _count_source_losses(caplog) -> int:
     return sum(record.msg["message"] == "SOURCE_LOST" for record in caplog.records)
 
 
-def test_nobody_moves_while_no_instance_is_better(monkeypatch, tmp_path, caplog):
+def test_a_daemon_keeps_its_source_while_no_instance_has_a_leader(monkeypatch, tmp_path, caplog):
     for seed in SEEDS:
         mesh = VirtualMesh(monkeypatch, tmp_path, seed)
         _settle(mesh)
         for instance in mesh.instances.values():
             _cut_off(instance)
         mesh.run(10.0)
-    assert not _count_moves(caplog)
+    assert not _count_source_losses(caplog)
 
 
 @pytest.mark.parametrize("seconds", [0.6, 0.8, 1.0, 1.5])
-def test_nobody_moves_once_the_present_source_has_a_leader_again(seconds, monkeypatch, tmp_path, caplog):
-    """A herd that went to whoever heard of the new leader first would only come back later."""
+def test_a_daemon_keeps_its_source_when_all_instances_hear_a_new_leader(seconds, monkeypatch, tmp_path, caplog):
+    """Daemons that switch to the first instance that hears the new leader only have to return later."""
     for seed in SEEDS:
         mesh = VirtualMesh(monkeypatch, tmp_path, seed)
         _settle(mesh)
@@ -261,10 +248,10 @@
         for instance in mesh.instances.values():
             mesh.at(mesh.clock.now + 0.01 * len(mesh.instances), _rejoin, instance)
         mesh.run(3.0)
-    assert not _count_moves(caplog)
+    assert not _count_source_losses(caplog)
 
 
-def test_nobody_moves_to_an_instance_that_lacks_the_version_in_force(monkeypatch, tmp_path, caplog):
+def test_a_daemon_does_not_switch_to_an_instance_that_lacks_its_version_in_force(monkeypatch, tmp_path, caplog):
     mesh = VirtualMesh(monkeypatch, tmp_path, 1)
     _settle(mesh)
     present = mesh.source()
@@ -273,4 +260,4 @@
     assert _time_to(mesh, 2) < 1.0
     _cut_off(present)
     mesh.run(10.0)
-    assert not _count_moves(caplog)
+    assert not _count_source_losses(caplog)
--- a/packages/lanedock-daemon/lanedock_daemon/agent/tests/test_view.py
+++ b/packages/lanedock-daemon/lanedock_daemon/agent/tests/test_view.py
@@ -1,5 +1,5 @@
 # SPDX-License-Identifier: BSD-3-Clause
-"""Tests of what the agent publishes: endpoints of two incarnations that cross."""
+"""Tests of the local view: order of endpoint updates, endpoints missing from a source, known services."""
 
 import pytest
 
@@ -9,7 +9,7 @@
 from lanedock_daemon.agent.view import MISSING_ENDPOINT_RETENTION, LocalView
 
 
-def _update(upstream, incarnation, revision, whole=False):
+def _make_update(upstream, incarnation, revision, whole=False):
     endpoint = messages.Endpoint(
         instance="a", service="s", zone="z", upstream=upstream, incarnation=incarnation, revision=revision
     )
@@ -18,71 +18,71 @@
 
 @pytest.mark.parametrize("whole", [False, True])
 @pytest.mark.parametrize(("incarnation", "revision"), [(1, 9), (2, 2)])
-def test_an_older_endpoint_from_another_source_does_not_come_back(whole, incarnation, revision):
+def test_an_older_endpoint_from_another_source_does_not_replace_the_newer_one(whole, incarnation, revision):
     view = LocalView("z", 10.0)
     balancer = view.balancer("s")
-    view.take_endpoints(_update("new", 2, 3))
-    view.take_endpoints(_update("old", incarnation, revision, whole))
+    view.take_endpoints(_make_update("new", 2, 3))
+    view.take_endpoints(_make_update("old", incarnation, revision, whole))
     assert balancer.choose(12, 0.0).endpoint.upstream == "new"
 
 
 @pytest.mark.parametrize(("incarnation", "revision"), [(2, 4), (3, 1)])
-def test_a_newer_endpoint_replaces_the_older(incarnation, revision):
+def test_a_newer_endpoint_replaces_the_older_one(incarnation, revision):
     view = LocalView("z", 10.0)
     balancer = view.balancer("s")
-    view.take_endpoints(_update("old", 2, 3))
-    view.take_endpoints(_update("new", incarnation, revision))
+    view.take_endpoints(_make_update("old", 2, 3))
+    view.take_endpoints(_make_update("new", incarnation, revision))
     assert balancer.choose(12, 0.0).endpoint.upstream == "new"
 
 
-def _named(*names: str, whole: bool = True) -> messages.EndpointUpdate:
+def _make_named_update(*names: str, whole: bool = True) -> messages.EndpointUpdate:
     endpoints = [messages.Endpoint(instance=name, service="s", zone="z") for name in names]
     return messages.EndpointUpdate(whole=whole, changed=endpoints)
 
 
-def _chosen(view: LocalView) -> set[str]:
+def _chosen_instances(view: LocalView) -> set[str]:
     chosen = [view.balancer("s").choose(12, 0.0) for _ in range(30)]
     return {stats.endpoint.instance for stats in chosen if stats is not None}
 
 
-def test_an_endpoint_that_a_whole_update_lacks_is_gone():
+def test_an_endpoint_missing_from_a_whole_update_is_removed():
     view = LocalView("z", 10.0)
-    view.take_endpoints(_named("a", "b"))
-    view.take_endpoints(_named("b"))
-    assert _chosen(view) == {"b"}
+    view.take_endpoints(_make_named_update("a", "b"))
+    view.take_endpoints(_make_named_update("b"))
+    assert _chosen_instances(view) == {"b"}
 
 
-def test_a_service_that_a_whole_update_lacks_is_gone_unless_it_is_named_soon():
+def test_a_service_missing_from_a_whole_update_is_removed_after_the_retention_time():
     view = LocalView("z", 10.0)
-    view.take_endpoints(_named("a", "b"))
-    # A source that was just started hears of them within a moment.
-    view.take_endpoints(_named())
-    assert _chosen(view) == {"a", "b"}
+    view.take_endpoints(_make_named_update("a", "b"))
+    # A source that was just started may not know any endpoint of the service yet.
+    view.take_endpoints(_make_named_update())
+    assert _chosen_instances(view) == {"a", "b"}
     view.expire_endpoints(monotonic())
-    assert _chosen(view) == {"a", "b"}
+    assert _chosen_instances(view) == {"a", "b"}
     view.expire_endpoints(monotonic() + MISSING_ENDPOINT_RETENTION)
-    assert _chosen(view) == set()
+    assert _chosen_instances(view) == set()
 
 
-def test_a_service_is_that_of_the_source_once_it_names_some_of_it():
+def test_missing_endpoints_of_a_service_are_unused_once_the_source_names_one_of_it():
     view = LocalView("z", 10.0)
-    view.take_endpoints(_named("a", "b"))
-    view.take_endpoints(_named())
-    view.take_endpoints(_named("c", whole=False))
-    assert _chosen(view) == {"c"}
+    view.take_endpoints(_make_named_update("a", "b"))
+    view.take_endpoints(_make_named_update())
+    view.take_endpoints(_make_named_update("c", whole=False))
+    assert _chosen_instances(view) == {"c"}
 
 
-def test_an_endpoint_that_has_gone_is_gone_at_once():
+def test_a_missing_endpoint_is_removed_at_once_when_reported_gone():
     view = LocalView("z", 10.0)
-    view.take_endpoints(_named("a", "b"))
-    view.take_endpoints(_named())
+    view.take_endpoints(_make_named_update("a", "b"))
+    view.take_endpoints(_make_named_update())
     view.take_endpoints(messages.EndpointUpdate(gone=["a"]))
-    assert _chosen(view) == {"b"}
+    assert _chosen_instances(view) == {"b"}
 
 
-def test_upstreams_of_the_version_that_a_service_has_moved_to_are_kept_beside_the_former_ones():
+def test_missing_upstreams_stay_in_use_while_the_source_names_only_withheld_ones():
     view = LocalView("z", 10.0)
-    former, new = _named("a"), _named("b", whole=False)
+    former, new = _make_named_update("a"), _make_named_update("b", whole=False)
     former.changed[0].version, new.changed[0].version = "v1", "v2"
     view.take_endpoints(former)
     view.take_endpoints(new)
@@ -90,10 +90,10 @@
         messages.CanaryPlan(revision=1, rules=[messages.CanaryRule(service="s", withheld=["v1"], number=1)])
     )
     view.take_endpoints(former)
-    assert _chosen(view) == {"b"}
+    assert _chosen_instances(view) == {"b"}
 
 
-def test_services_of_the_version_are_known_though_its_slice_lacks_them():
+def test_services_outside_the_slice_are_known_from_the_version_in_force():
     view = LocalView("z", 10.0)
     assert view.may_have_service("any")
     services = [{"name": name, "zones": ["z"]} for name in ("mine", "other")]
