--- a/packages/lanedock-daemon/lanedock_daemon/agent/discovery.py
+++ b/packages/lanedock-daemon/lanedock_daemon/agent/discovery.py
@@ -137,7 +137,7 @@
         """Update the registration from an answer of the health check."""
         registration = self._registration
         now = awake()
-        asked = Incarnation(facts.upstream) if facts.upstream else registration.incarnation
+        queried = Incarnation(facts.upstream) if facts.upstream else registration.incarnation
         is_leaving = facts.report.is_draining
         if registration.rival is not None:
             is_changed = registration.settle(facts.upstream, now)
@@ -153,6 +153,6 @@
         else:
             is_changed = False
         if self.registrar is not None:
-            self.registrar.note_report(facts.report, asked)
+            self.registrar.note_report(facts.report, queried)
         if is_changed:
             self._on_change()
--- a/packages/lanedock-daemon/lanedock_daemon/agent/registration.py
+++ b/packages/lanedock-daemon/lanedock_daemon/agent/registration.py
@@ -154,7 +154,10 @@
         self._events.emit(Event.RATE_LIMIT_CHANGED, upstream=registration.upstream, rate=registration.advertised.rate)
 
     def adopt(self, endpoint: messages.Endpoint) -> None:
-        """Restore from the mesh what this daemon knew of the application before its own restart."""
+        """Restore from the mesh what this daemon knew of the application before its own restart.
+
+        Does not call `on_change`, since the mesh already knows what it reports.
+        """
         registration = self._registration
         rival, rate = registration.rival, registration.advertised.rate
         if registration.adopt(
--- a/packages/lanedock-daemon/lanedock_daemon/agent/service.py
+++ b/packages/lanedock-daemon/lanedock_daemon/agent/service.py
@@ -39,7 +39,7 @@
 # Seconds between two checks of the source. The loss of a source is detected up to this much later.
 TICK = 0.1
 # Seconds within which a source that was just connected to has to send a heartbeat. Control instances
-# that start on a fraction of a core take tenths of a second. Doubled with each source that failed, in
+# that start on a fraction of a core need tenths of a second for it. Doubled with each source that failed, in
 # case all of them are slow.
 FIRST_HEARTBEAT_TIMEOUT = 0.5
 # Seconds within which a relay that has lost its source finds another one. Downstream daemons wait this
@@ -196,14 +196,15 @@
         """Return whether the source has not heard the leader for too long.
 
         A relay gets additional time to find another source itself. A silent relay does not: the
-        additional time would delay a version that was accepted from 1.6 s to 2.1 s where the
-        instance that is probed first is paused, too.
+        additional time would raise the longest delay of an accepted version from 1.6 s to 2.1 s
+        where the instance that is probed first is paused, too.
         """
         is_heard = now - self._stream.heard_at <= self._freshness.limit
         grace = RELAY_RECOVERY_TIME if self._search.relay_name() and is_heard else 0.0
         return self._freshness.is_exceeded(now, grace)
 
     def _open_probe(self, address: Address, is_failback: bool, now: float) -> None:
+        """Start a probe of a control instance."""
         stream = self._transport.open_source(self, address)
         stream.connect_limit = PROBE_TIMEOUT
         self._probes.add(FreshnessProbe(stream, address, is_failback, now))
--- a/packages/lanedock-daemon/lanedock_daemon/agent/tests/test_source_loss.py
+++ b/packages/lanedock-daemon/lanedock_daemon/agent/tests/test_source_loss.py
@@ -5,10 +5,11 @@
 route more than two seconds after the change that adds it was accepted. This happens when the
 control instance of an availability zone is cut off from the others and its daemons stay with it
 although they can reach the others. Time-outs of 3.5 s of silence, or of 1 s without a leader plus
-a heartbeat interval of 1 s, followed by a search with growing waits, add up to 3.95 s for a silent
-source, 2.45 s for one without a leader and 8.0 s if the source and the next instance are paused.
-A tolerance of sources without a leader that doubles up to 16 s adds up to 11.0 s after an outage
-of all leaders. A daemon must not return to its own zone's instance unless that has a leader, either.
+a heartbeat interval of 1 s, followed by a search with growing waits, add up to 3.95 s (maximum of
+40 seeds) for a silent source, 2.45 s for one without a leader, and 8.0 s if the source and the next
+instance are paused. A tolerance of sources without a leader that doubles up to 16 s adds up to
+11.0 s after an outage of all leaders. A return to the own zone's instance while that has no leader
+delays versions, too.
 """
 
 import logging
