--- a/packages/lanedock/lanedock/consensus/candidacy.py
+++ b/packages/lanedock/lanedock/consensus/candidacy.py
@@ -1,5 +1,5 @@
 # SPDX-License-Identifier: BSD-3-Clause
-"""Elections: a replica's own candidacies, and its votes for others."""
+"""Elections: a replica's own candidacies and its votes for other candidates."""
 
 from lanedock.consensus.core import ReplicaRole
 from lanedock.consensus.election import ElectionState
@@ -10,7 +10,7 @@
 
 
 class Candidacy:
-    """Stands for election, counts the votes, and votes for other candidates. Pure.
+    """Elections and pre-votes of one replica, and its votes for other candidates. Performs no I/O.
 
     Parameters
     ----------
@@ -26,21 +26,28 @@
         return f"<Candidacy {self._state.role.value} {self._election!r}>"
 
     def start(self, now: float, trial: bool) -> bool:
-        """Stand for election, or hold the trial before it.
+        """Start an election, or the pre-vote that precedes it.
+
+        Parameters
+        ----------
+        now : float
+            Monotonic time in seconds.
+        trial : bool
+            Whether to start a pre-vote, which does not raise the term.
 
         Returns
         -------
         bool
-            Whether the election is won at once, without another replica's vote.
+            Whether this replica's own vote already wins the election.
         """
         state = self._state
         state.leader = ""
-        state.drop_reads()
+        state.fail_reads()
         self._election.votes = set()
         state.role = ReplicaRole.PRE_CANDIDATE if trial else ReplicaRole.CANDIDATE
         self._election.reset(now, is_candidate=not trial)
         if not trial:
-            self._election.stand(state.me, now)
+            self._election.start_candidacy(state.me, now)
             state.term += 1
             state.voted_for = state.me
             state.ready.hard_state_changed = True
@@ -60,9 +67,9 @@
         state.ready.late.append(message)
 
     def count_vote(self, voter: str, trial: bool, now: float) -> bool:
-        """Count a vote that was granted; return whether the election is won.
+        """Count a granted vote; return whether the election is won.
 
-        A trial that is won starts the election.
+        A pre-vote that is won starts the election.
         """
         expected = ReplicaRole.PRE_CANDIDATE if trial else ReplicaRole.CANDIDATE
         if self._state.role is not expected:
@@ -72,30 +79,30 @@
             return False
         return self.start(now, trial=False) if trial else True
 
-    def answer_request(self, message, request, now: float) -> None:
-        """Grant or refuse a vote in the current term."""
+    def answer_vote_request(self, message, request, now: float) -> None:
+        """Grant or refuse a vote or pre-vote in the current term."""
         state = self._state
         if request.trial:
-            is_free = not self._election.supports_other(message.sender, now)
-            self.reply(message, is_free and self.can_support(request), trial=True)
+            is_unbound = not self._election.supports_other_lease(message.sender, now)
+            self.send_reply(message, is_unbound and self.can_vote_for(request), trial=True)
             return
-        granted = state.voted_for in ("", message.sender) and self.can_support(request)
+        granted = state.voted_for in ("", message.sender) and self.can_vote_for(request)
         if granted:
             state.voted_for = message.sender
             state.ready.hard_state_changed = True
-            # So that the candidate's first lease excludes another leader.
-            self._election.support(message.sender, now)
+            # The candidate's first lease begins with its election, so the vote has to exclude other leaders.
+            self._election.grant_lease(message.sender, now)
             self._election.reset(now)
-        self.reply(message, granted, trial=False)
+        self.send_reply(message, granted, trial=False)
 
-    def can_support(self, request) -> bool:
-        """Tell whether this replica votes at all, and the candidate's log is as new as its own."""
+    def can_vote_for(self, request) -> bool:
+        """Return whether this replica is a voter and the candidate's log is at least as up to date."""
         log = self._state.log
         is_up_to_date = (request.last_term, request.last_index) >= (log.last_term, log.last_index)
         return self._state.can_vote() and is_up_to_date
 
-    def reply(self, message, granted: bool, trial: bool) -> None:
-        """Answer a candidate's request."""
+    def send_reply(self, message, granted: bool, trial: bool) -> None:
+        """Send a vote reply to the candidate that sent `message`."""
         reply = self._state.message(message.sender)
         if trial and granted:
             reply.term = message.term
--- a/packages/lanedock/lanedock/consensus/core.py
+++ b/packages/lanedock/lanedock/consensus/core.py
@@ -34,25 +34,25 @@
         Silence after which a follower stands for election. `election_min` is
         also the time within which a follower supports no other leader, so a
         leader's lease is a part of it.
-    lease_part : float
+    lease_fraction : float
         Part of `election_min` that a lease lasts; below 1 to allow for clocks
         that run at different rates.
     """
 
-    __slots__ = ("election_max", "election_min", "heartbeat", "lease_part")
+    __slots__ = ("election_max", "election_min", "heartbeat", "lease_fraction")
 
-    def __init__(self, heartbeat=0.15, election_min=1.0, election_max=2.0, lease_part=0.9):
+    def __init__(self, heartbeat=0.15, election_min=1.0, election_max=2.0, lease_fraction=0.9):
         self.heartbeat = heartbeat
         self.election_min = election_min
         self.election_max = election_max
-        self.lease_part = lease_part
+        self.lease_fraction = lease_fraction
 
     @classmethod
     def for_election(cls, least: float) -> "Timing":
         """Make the timing for a least silence before elections, in seconds, in the usual proportions."""
         usual = cls()
         scale = least / usual.election_min
-        return cls(usual.heartbeat * scale, least, usual.election_max * scale, usual.lease_part)
+        return cls(usual.heartbeat * scale, least, usual.election_max * scale, usual.lease_fraction)
 
     def __repr__(self) -> str:
         return f"<Timing heartbeat={self.heartbeat} election={self.election_min}..{self.election_max}>"
--- a/packages/lanedock/lanedock/consensus/joining.py
+++ b/packages/lanedock/lanedock/consensus/joining.py
@@ -1,5 +1,5 @@
 # SPDX-License-Identifier: BSD-3-Clause
-"""How a replica that does not vote asks to be admitted, and how the others treat its request."""
+"""Admission requests: sending them as a non-voter, and handling those of other replicas."""
 
 from random import Random
 
@@ -11,16 +11,16 @@
 
 
 class Joining:
-    """Requests to be admitted, of this replica and of others. Pure.
+    """Admission requests of this replica and of other replicas. Performs no I/O.
 
     Parameters
     ----------
     state : ReplicaState
     election : ElectionState
     contacts : tuple of str
-        Names of the replicas that a newcomer asks to be admitted.
+        Names of the replicas to which this replica sends its admission requests.
     rng : random.Random
-        For the tokens of challenges.
+        Source of challenge tokens.
     """
 
     def __init__(self, state: ReplicaState, election: ElectionState, contacts: tuple[str, ...], rng: Random):
@@ -33,56 +33,59 @@
     def __repr__(self) -> str:
         return f"<Joining {self._state.me} contacts={self.contacts}>"
 
-    def ask(self, now: float) -> None:
-        """Ask every known replica to be admitted, unless this one is a learner already."""
+    def request_admission(self, now: float) -> None:
+        """Send an admission request to every known replica, unless this one is a learner already."""
         state = self._state
         self._election.reset(now)
         if state.me in state.membership.learners:
             return
         known = [replica_name(voter) for voter in state.membership.voters if voter != state.me]
         for name in dict.fromkeys([*self.contacts, *known]):
-            self._send(name, state.me)
+            self._send_request(name, state.me)
 
-    def _send(self, receiver: str, joiner: str) -> None:
+    def _send_request(self, receiver: str, joiner: str) -> None:
         message = self._state.message(receiver)
         message.join_request.joiner = joiner
         self._state.ready.late.append(message)
 
-    def pass_on(self, joiner: str, sender: str) -> None:
-        """Pass a newcomer's own request on to the leader, where there is one."""
+    def forward_request(self, joiner: str, sender: str) -> None:
+        """Forward a request that came from the joiner itself to the leader.
+
+        If no leader is known, challenge the joiner, which may have replaced the lease holder.
+        """
         if joiner != sender:
             return
         if self._state.leader:
-            self._send(self._state.leader, joiner)
+            self._send_request(self._state.leader, joiner)
         else:
             self._challenge_successor(joiner)
 
     def _challenge_successor(self, joiner: str) -> None:
-        """Detect whether a newcomer has replaced the leader that is supported.
-
-        A replica that lost its disk comes back under its name with another
-        incarnation, and two of them never run at once. The leader that is supported
-        has led before; so once another incarnation is known to run now, the leader
-        has ended, and nobody need wait for its lease. A request with a token of
-        this replica's own is answered by one that runs now only: a late message of a still
-        earlier incarnation proves nothing.
+        """Send a challenge to a joiner that may be the lease holder's next incarnation.
+
+        A replica that lost its disk returns under its name with another
+        incarnation, and two incarnations never run at once. The lease holder has
+        run before, so once another incarnation is known to run now, the lease holder
+        has ended and its lease no longer binds. A delayed message could come from an even earlier
+        incarnation and proves nothing, so the challenge carries a new token that
+        only a running process can return.
         """
-        supported = self._election.supported
-        if joiner == supported or replica_name(joiner) != replica_name(supported):
+        lease_holder = self._election.lease_holder
+        if joiner == lease_holder or replica_name(joiner) != replica_name(lease_holder):
             return
         token = self._rng.getrandbits(62)
-        self._challenge = (joiner, token, supported)
+        self._challenge = (joiner, token, lease_holder)
         message = self._state.message(joiner)
         message.read_index_request.token = token
         self._state.ready.late.append(message)
 
-    def take_proof(self, sender: str, token: int, now: float) -> bool:
-        """Tell whether a reply answers the challenge of the successor of the leader still supported.
+    def accept_challenge_reply(self, sender: str, token: int, now: float) -> bool:
+        """Return whether a reply answers the pending challenge; if so, end the lease.
 
-        That leader has ended then.
+        The challenge counts only while the lease holder is the one for which it was sent.
         """
-        if self._challenge != (sender, token, self._election.supported):
+        if self._challenge != (sender, token, self._election.lease_holder):
             return False
         self._challenge = None
-        self._election.note_ended(now)
+        self._election.end_lease(now)
         return True
--- a/packages/lanedock/lanedock/consensus/replacement.py
+++ b/packages/lanedock/lanedock/consensus/replacement.py
@@ -1,5 +1,5 @@
 # SPDX-License-Identifier: BSD-3-Clause
-"""When a leader changes the membership: newcomers are admitted, silent replicas replaced."""
+"""Membership changes by the leader: admitting new replicas and replacing silent ones."""
 
 from lanedock.consensus.core import Timing
 from lanedock.consensus.leadership import Leadership
@@ -9,21 +9,22 @@
 
 __all__ = ["MembershipChanges"]
 
-# A learner does not vote and delays no commit, so it is removed later than a
-# voter, by this factor.
-LEARNER_PATIENCE = 10
+# Silence limit of a learner, as a multiple of a voter's. A learner does not vote and
+# delays no commit, so its removal is less urgent.
+LEARNER_SILENCE_FACTOR = 10
 
 
 class MembershipChanges:
-    """Chooses the next change of the membership, one replica at a time. Pure.
+    """Selects membership changes that add, promote or remove one replica at a time. Performs no I/O.
 
     Parameters
     ----------
     state : ReplicaState
     timing : Timing
     replace_after : float, optional
-        Silence, in seconds, after which a learner takes a voter's place. Left
-        out, the replicas are given, and every learner comes for its old self.
+        Silence, in seconds, after which a learner replaces a voter. If None, the
+        set of replica names is fixed and a learner only replaces its own
+        earlier incarnation.
     """
 
     def __init__(self, state: ReplicaState, timing: Timing, replace_after: float | None):
@@ -35,55 +36,58 @@
     def __repr__(self) -> str:
         return f"<MembershipChanges joiners={list(self._joiners)}>"
 
-    def note_joiner(self, joiner: str, now: float) -> None:
-        """Note that a replica has asked to be admitted."""
+    def add_joiner(self, joiner: str, now: float) -> None:
+        """Record that a replica has requested admission."""
         self._joiners[joiner] = now
 
-    def next_change(self, lead: Leadership, now: float) -> messages.Membership | None:
-        """Return the next membership, or None: one change is committed before the next begins."""
+    def next_change(self, leadership: Leadership, now: float) -> messages.Membership | None:
+        """Return the next membership, or None if none is due.
+
+        A change begins only after the previous one is committed.
+        """
         state = self._state
-        if state.commit_index < max(lead.term_start, state.log.membership_index()):
+        if state.commit_index < max(leadership.term_start, state.log.membership_index()):
             return None
-        step = self._next_step(lead, now)
-        return step if step is not None else self._admit_next(lead, now)
+        step = self._next_replacement(leadership, now)
+        return step if step is not None else self._admit_next(leadership, now)
 
-    def _next_step(self, lead: Leadership, now: float) -> messages.Membership | None:
-        """Return the membership that promotes a learner or removes a replica, if any."""
+    def _next_replacement(self, leadership: Leadership, now: float) -> messages.Membership | None:
+        """Return the membership that promotes a learner or removes a replica, or None."""
         membership = self._state.membership
-        ready = [learner for learner in membership.learners if self._has_caught_up(learner, lead, now)]
+        caught_up = [learner for learner in membership.learners if self._has_caught_up(learner, leadership, now)]
         if self.replace_after is None:
-            return promote_learner(membership, ready[0]) if ready else None
-        limit = LEARNER_PATIENCE * self.replace_after
-        silent = [voter for voter in membership.voters if self._is_silent(voter, self.replace_after, lead, now)]
-        stale = [learner for learner in membership.learners if self._is_silent(learner, limit, lead, now)]
-        return next_membership(membership, ready, silent, stale)
+            return promote_learner(membership, caught_up[0]) if caught_up else None
+        limit = LEARNER_SILENCE_FACTOR * self.replace_after
+        silent = [voter for voter in membership.voters if self._is_silent(voter, self.replace_after, leadership, now)]
+        stale = [learner for learner in membership.learners if self._is_silent(learner, limit, leadership, now)]
+        return next_membership(membership, caught_up, silent, stale)
 
-    def _is_silent(self, replica: str, limit: float, lead: Leadership, now: float) -> bool:
-        return replica != self._state.me and lead.silence_of(replica, now) > limit
+    def _is_silent(self, replica: str, limit: float, leadership: Leadership, now: float) -> bool:
+        return replica != self._state.me and leadership.silence_of(replica, now) > limit
 
-    def _has_caught_up(self, learner: str, lead: Leadership, now: float) -> bool:
-        return lead.is_recent(learner, now) and lead.match_of(learner) >= self._state.commit_index
+    def _has_caught_up(self, learner: str, leadership: Leadership, now: float) -> bool:
+        return leadership.is_recent(learner, now) and leadership.match_of(learner) >= self._state.commit_index
 
-    def _admit_next(self, lead: Leadership, now: float) -> messages.Membership | None:
-        """Return the membership that admits the first newcomer that can be, if any."""
+    def _admit_next(self, leadership: Leadership, now: float) -> messages.Membership | None:
+        """Return the membership that admits the first admissible new replica, or None."""
         for joiner, asked_at in list(self._joiners.items()):
             del self._joiners[joiner]
             known = [*self._state.membership.voters, *self._state.membership.learners]
             if joiner in known or now - asked_at > self._timing.election_max:
                 continue
-            membership = self._admit(joiner, lead, now)
+            membership = self._admit(joiner, leadership, now)
             if membership is not None:
                 return membership
         return None
 
-    def _admit(self, joiner: str, lead: Leadership, now: float) -> messages.Membership | None:
-        """Replace the joiner's old self by the joiner as a learner.
+    def _admit(self, joiner: str, leadership: Leadership, now: float) -> messages.Membership | None:
+        """Return the membership with `joiner` as a learner instead of its earlier incarnation.
 
         Returns
         -------
         Membership or None
-            None where the remaining voters could not carry the change.
+            None if too few of the remaining voters answer to commit the change.
         """
         membership = admit_learner(self._state.membership, joiner)
-        recent = {voter for voter in membership.voters if voter == self._state.me or lead.is_recent(voter, now)}
+        recent = {voter for voter in membership.voters if voter == self._state.me or leadership.is_recent(voter, now)}
         return membership if is_quorum(membership, recent) else None
--- a/packages/lanedock/lanedock/consensus/replica.py
+++ b/packages/lanedock/lanedock/consensus/replica.py
@@ -1,8 +1,8 @@
 # SPDX-License-Identifier: BSD-3-Clause
-"""The consensus core of one replica: no I/O, no clock, no randomness of its own.
+"""The consensus core of one replica, without I/O; time and randomness are passed in.
 
 The algorithm is Raft with pre-votes, leader leases, read confirmation and
-changes of one voter at a time.
+single-server membership changes.
 
 References
 ----------
@@ -26,33 +26,34 @@
 
 __all__ = ["NEVER_LED", "RaftReplica"]
 
-# Reported where no leader was ever heard, in seconds: longer than anybody waits for one.
+# Silence, in seconds, that is reported if no leader was ever known; longer than any caller waits.
 NEVER_LED = 3600.0
 
 
 class RaftReplica:
-    """One replica of the log.
+    """Raft state machine of one replica of the log.
 
     Parameters
     ----------
     me : str
-        Id, ``name@incarnation``: a replica that lost its disk comes back under
-        another incarnation, so nothing sent to its old self reaches it.
+        Id, ``name@incarnation``. A replica that lost its disk returns with another
+        incarnation, so messages for its earlier incarnation do not reach it.
     log : RaftLog
         As restored from disk.
     term : int
     voted_for : str
-        Empty where no vote was given in this term.
+        Empty if no vote was given in this term.
     timing : Timing
     rng : random.Random
-        For election timeouts.
+        Source of election timeouts and challenge tokens.
     now : float
-        Monotonic clock, seconds; every later call passes its own.
+        Monotonic time in seconds; every later call passes its own.
     contacts : tuple of str
-        Names of the replicas that a newcomer asks to be admitted.
+        Names of the replicas to which a non-voter sends its admission requests.
     replace_after : float, optional
-        Silence, in seconds, after which a learner takes a voter's place. Left
-        out, the replicas are given, and every learner comes for its old self.
+        Silence, in seconds, after which a learner replaces a voter. If None, the
+        set of replica names is fixed and a learner only replaces its own
+        earlier incarnation.
     """
 
     def __init__(
@@ -74,9 +75,10 @@
         self._joining = Joining(self._state, self._election, contacts, rng)
         self._changes = MembershipChanges(self._state, timing, replace_after)
         self._replication: LogReplication | None = None
-        self._led_until: float | None = None
+        self._last_leader_at: float | None = None
         if not self.can_vote():
-            # Others may wait for a leader whose successor this replica is.
+            # Other replicas may be waiting for the lease of this replica's earlier incarnation,
+            # so the first admission request is sent at once.
             self._election.due_at = now
 
     def __repr__(self) -> str:
@@ -96,22 +98,22 @@
 
     @property
     def term(self) -> int:
-        """The current term; to be saved with the vote."""
+        """The current term, which is saved together with the vote."""
         return self._state.term
 
     @property
     def voted_for(self) -> str:
-        """Who got this replica's vote in the term; empty where nobody did."""
+        """Id of the replica that got this replica's vote in the current term; empty if none did."""
         return self._state.voted_for
 
     @property
     def role(self) -> ReplicaRole:
-        """What this replica is at the moment."""
+        """The replica's current role."""
         return self._state.role
 
     @property
     def leader(self) -> str:
-        """Id of the term's leader; empty where it is not known."""
+        """Id of the current term's leader; empty if unknown."""
         return self._state.leader
 
     @property
@@ -121,7 +123,7 @@
 
     @property
     def contacts(self) -> tuple[str, ...]:
-        """Names of the replicas that a newcomer asks to be admitted."""
+        """Names of the replicas to which a non-voter sends its admission requests."""
         return self._joining.contacts
 
     @contacts.setter
@@ -130,36 +132,42 @@
 
     @property
     def membership(self) -> messages.Membership:
-        """The replicas that take part at the moment."""
+        """The newest membership of the log, committed or not."""
         return self._state.membership
 
     def is_leader(self, now: float) -> bool:
-        """Tell whether this replica leads and its lease still runs."""
-        return self._replication is not None and now < self._replication.lead.lease_until
+        """Return whether this replica leads and its lease has not expired."""
+        return self._replication is not None and now < self._replication.leadership.lease_until
 
     def has_own_commit(self, applied: int) -> bool:
-        """Tell whether an entry of the leader's own term is applied.
+        """Return whether this replica leads and has applied an entry of its own term.
 
-        Everything committed before the term began is applied then, too.
+        Everything committed before the term began is then applied, too.
+
+        Parameters
+        ----------
+        applied : int
+            Index of the last applied entry.
         """
-        return self._replication is not None and applied >= self._replication.lead.term_start
+        return self._replication is not None and applied >= self._replication.leadership.term_start
 
     def silence(self, now: float) -> float:
-        """Return for how long no leader is known to have led, in seconds.
+        """Return the time, in seconds, since a leader was last known; 0 while this replica leads.
 
-        Counted from a leader's last message, or from the end of this one's own lease: a
-        vote or a candidacy is no sign of a leader, nor is a start.
+        The time counts from the last message of a leader, or from the end of this
+        replica's own lease. Votes, candidacies and process starts are no evidence of a
+        leader. `NEVER_LED` is returned if no leader was ever known.
         """
         if self.is_leader(now):
             return 0.0
-        return now - self._led_until if self._led_until is not None else NEVER_LED
+        return now - self._last_leader_at if self._last_leader_at is not None else NEVER_LED
 
     def can_vote(self) -> bool:
-        """Tell whether this replica is a voter."""
+        """Return whether this replica is a voter."""
         return self._state.can_vote()
 
     def take_ready(self) -> Ready:
-        """Return what there is to do, and start a new list."""
+        """Return the pending work for the driver, and start collecting anew."""
         state = self._state
         ready = state.ready
         if state.commit_index > state.delivered and ready.snapshot is None:
@@ -171,41 +179,41 @@
         return ready
 
     def persisted(self, index: int, now: float) -> None:
-        """Note that all entries up to `index` are synced to disk."""
+        """Record that all entries up to `index` are synced to disk."""
         self._state.persisted = min(index, self.log.last_index)
         if self.role is ReplicaRole.LEADER and self._replication.advance_commit(now):
             self._step_down(now)
 
     def tick(self, now: float) -> None:
-        """Act on the time: heartbeats, elections, the end of a lease."""
+        """Send due heartbeats, start due elections, and step down when the lease has expired."""
         if self.role is ReplicaRole.LEADER:
             self._tick_leader(now)
         elif now >= self._election.due_at:
             if self.can_vote():
                 replace_after = self._changes.replace_after
                 if replace_after is not None and now - self._election.heard_at > replace_after:
-                    # Others may have taken its place meanwhile.
-                    self._joining.ask(now)
+                    # A learner may have replaced this replica meanwhile.
+                    self._joining.request_admission(now)
                 self._start_election(now, trial=True)
             else:
-                self._joining.ask(now)
+                self._joining.request_admission(now)
 
     def propose(self, payload: bytes, now: float) -> int | None:
-        """Append an entry, as leader.
+        """Append an entry with a payload to the log if this replica leads.
 
         Returns
         -------
         int or None
-            The entry's index, or None where this replica does not lead.
+            The entry's index, or None if this replica does not lead.
         """
         if not self.is_leader(now):
             return None
         return self._replication.append(messages.LogEntry(payload=payload), now)
 
     def request_read(self, token: int, now: float) -> None:
-        """Ask for an index that is at least as new as any committed before.
+        """Request an index that is at least as new as any entry committed before the call.
 
-        The answer comes as `Ready.reads` or `Ready.failed_reads`.
+        The answer appears in `Ready.reads` or `Ready.failed_reads`.
         """
         state = self._state
         if self.role is ReplicaRole.LEADER:
@@ -219,7 +227,7 @@
             state.ready.failed_reads.append(token)
 
     def compact(self, snapshot: LogSnapshot) -> None:
-        """Drop the entries that a saved snapshot stands for."""
+        """Drop the log entries that a saved snapshot covers."""
         self.log.compact(snapshot)
 
     def step(self, message: messages.PeerMessage, now: float) -> None:
@@ -242,13 +250,13 @@
     # --------------------------------------------------------- terms and roles
 
     def _raise_term(self, message, body: str, now: float) -> bool:
-        """Go along with a higher term; False where the message is to be dropped."""
+        """Adopt a higher term; return False if the message needs no further handling."""
         if body == "vote_request":
-            if self._election.supports_other(message.sender, now):
+            if self._election.supports_other_lease(message.sender, now):
                 return False
             if message.vote_request.trial:
-                granted = self._candidacy.can_support(message.vote_request)
-                self._candidacy.reply(message, granted, trial=True)
+                granted = self._candidacy.can_vote_for(message.vote_request)
+                self._candidacy.send_reply(message, granted, trial=True)
                 return False
         if body == "vote_reply" and message.vote_reply.trial and message.vote_reply.granted:
             if message.term == self.term + 1:
@@ -259,13 +267,13 @@
         return True
 
     def _answer_old_term(self, message, body: str) -> None:
-        """Let a deposed leader or a late candidate learn the term."""
+        """Tell a deposed leader or a late candidate the current term."""
         if body in ("append_request", "snapshot_request"):
             reply = self._state.message(message.sender)
             reply.append_reply.accepted = False
             self._state.ready.late.append(reply)
         elif body == "vote_request":
-            self._candidacy.reply(message, False, message.vote_request.trial)
+            self._candidacy.send_reply(message, False, message.vote_request.trial)
 
     def _become_follower(self, term: int, leader: str, now: float) -> None:
         state = self._state
@@ -275,8 +283,8 @@
             state.ready.hard_state_changed = True
         state.role = ReplicaRole.FOLLOWER
         state.leader = leader
-        self._end_lead(now)
-        state.drop_reads()
+        self._end_leadership(now)
+        state.fail_reads()
         self._election.reset(now)
 
     def _step_down(self, now: float) -> None:
@@ -286,30 +294,30 @@
         if self.role is not ReplicaRole.FOLLOWER or self.leader != message.sender:
             self._state.role = ReplicaRole.FOLLOWER
             self._state.leader = message.sender
-            self._end_lead(now)
-        self._led_until = now
+            self._end_leadership(now)
+        self._last_leader_at = now
         self._election.follow(message.sender, now)
 
-    def _end_lead(self, now: float) -> None:
-        """Lead no more, if this replica did."""
+    def _end_leadership(self, now: float) -> None:
+        """Stop leading, if this replica leads, and record the end of its lease."""
         if self._replication is not None:
-            self._led_until = min(now, self._replication.lead.lease_until)
+            self._last_leader_at = min(now, self._replication.leadership.lease_until)
             self._replication = None
 
     def _become_leader(self, now: float) -> None:
         self._state.role = ReplicaRole.LEADER
         self._state.leader = self.me
-        self._replication = LogReplication(self._state, self._timing, self._election.stood_at)
+        self._replication = LogReplication(self._state, self._timing, self._election.election_started_at)
         self._replication.append(messages.LogEntry(), now)
 
     def _tick_leader(self, now: float) -> None:
-        lead = self._replication.lead
-        if now >= lead.lease_until:
+        leadership = self._replication.leadership
+        if now >= leadership.lease_until:
             self._step_down(now)
             return
-        if now >= lead.heartbeat_at:
+        if now >= leadership.heartbeat_at:
             self._replication.broadcast(now)
-            membership = self._changes.next_change(lead, now)
+            membership = self._changes.next_change(leadership, now)
             if membership is not None:
                 entry = messages.LogEntry()
                 entry.membership.CopyFrom(membership)
@@ -326,7 +334,7 @@
     # ---------------------------------------------------------------- messages
 
     def _on_vote_request(self, message, request, now: float) -> None:
-        self._candidacy.answer_request(message, request, now)
+        self._candidacy.answer_vote_request(message, request, now)
 
     def _on_vote_reply(self, message, reply, now: float) -> None:
         if reply.granted:
@@ -341,19 +349,20 @@
         install_snapshot(self._state, message, request)
 
     def _on_append_reply(self, message, reply, now: float) -> None:
-        if self._replication is not None and self._replication.note_reply(message.sender, reply, now):
+        if self._replication is not None and self._replication.handle_reply(message.sender, reply, now):
             self._step_down(now)
 
     def _on_join_request(self, message, now: float) -> None:
-        """Note a newcomer, as leader, or pass its request on to the leader.
+        """Record an admission request if this replica leads, or forward it to the leader.
 
-        It knows names only, not incarnations.
+        The receiver and the term are not checked: the joiner knows replica names but no
+        incarnations.
         """
         joiner = message.join_request.joiner or message.sender
         if self.role is ReplicaRole.LEADER:
-            self._changes.note_joiner(joiner, now)
+            self._changes.add_joiner(joiner, now)
         else:
-            self._joining.pass_on(joiner, message.sender)
+            self._joining.forward_request(joiner, message.sender)
 
     def _on_read_index_request(self, message, request, now: float) -> None:
         if self.role is ReplicaRole.LEADER:
@@ -362,7 +371,7 @@
             self._state.finish_read(request.token, message.sender, 0, confirmed=False)
 
     def _on_read_index_reply(self, message, reply, now: float) -> None:
-        if self._joining.take_proof(message.sender, reply.token, now):
+        if self._joining.accept_challenge_reply(message.sender, reply.token, now):
             return
         if self._state.reads.take_forwarded(reply.token):
             self._state.finish_read(reply.token, self.me, reply.index, reply.confirmed)
--- a/packages/lanedock/lanedock/consensus/replication.py
+++ b/packages/lanedock/lanedock/consensus/replication.py
@@ -1,5 +1,5 @@
 # SPDX-License-Identifier: BSD-3-Clause
-"""How a leader replicates its log: heartbeats, entries, snapshots, commits and confirmed reads."""
+"""Log replication by the leader: heartbeats, entries, snapshots, commits and confirmed reads."""
 
 from lanedock.consensus.core import Timing
 from lanedock.consensus.leadership import Leadership
@@ -14,30 +14,30 @@
 
 
 class LogReplication:
-    """One term's replication of the log by its leader. Pure.
+    """Replication of the log by the leader of one term. Performs no I/O.
 
     Parameters
     ----------
     state : ReplicaState
     timing : Timing
-    stood_at : float
-        When the election began, monotonic seconds.
+    election_started_at : float
+        Monotonic time, in seconds, at which the election began.
 
     Attributes
     ----------
-    lead : Leadership
-        Progress of the followers, and the lease.
+    leadership : Leadership
+        Progress of the followers, heartbeat rounds and the lease.
     """
 
-    def __init__(self, state: ReplicaState, timing: Timing, stood_at: float):
-        self.lead = Leadership(state.me, state.log.last_index + 1, timing, stood_at)
+    def __init__(self, state: ReplicaState, timing: Timing, election_started_at: float):
+        self.leadership = Leadership(state.me, state.log.last_index + 1, timing, election_started_at)
         self._state = state
 
     def __repr__(self) -> str:
-        return f"<LogReplication {self._state!r} {self.lead!r}>"
+        return f"<LogReplication {self._state!r} {self.leadership!r}>"
 
     def append(self, entry: messages.LogEntry, now: float) -> int:
-        """Append an entry of this term and send it; return its index."""
+        """Append an entry to the log in this term, send it, and return its index."""
         state = self._state
         entry.term = state.term
         entry.leader = state.me
@@ -50,8 +50,8 @@
         return entry.index
 
     def broadcast(self, now: float) -> None:
-        """Send every other replica what it misses, with a fresh probe."""
-        self.lead.begin_round(now)
+        """Begin a heartbeat round and send every other replica the entries that it lacks."""
+        self.leadership.begin_round(now)
         for peer in self._others():
             self._send_append(peer)
         self._advance_reads()
@@ -63,7 +63,7 @@
 
     def _send_append(self, peer: str) -> None:
         state = self._state
-        progress = self.lead.progress_of(peer, state.log.last_index)
+        progress = self.leadership.progress_of(peer, state.log.last_index)
         previous_term = state.log.term_at(progress.next_index - 1)
         if previous_term is None:
             self._send_snapshot(peer)
@@ -73,12 +73,12 @@
         request.previous_index = progress.next_index - 1
         request.previous_term = previous_term
         request.commit_index = state.commit_index
-        request.probe = self.lead.probe
+        request.probe = self.leadership.probe
         last = progress.next_index + MAX_ENTRIES_PER_MESSAGE - 1
         entries = state.log.between(progress.next_index, last)
         request.entries.extend(entries)
-        # Sent entries are taken to arrive. Where they don't, the next
-        # heartbeat is refused and the refusal sets this back.
+        # Assumes that the entries arrive. If they do not, the follower rejects the next
+        # heartbeat, and its reply resets this index.
         progress.next_index += len(entries)
         state.ready.early.append(message)
 
@@ -91,13 +91,19 @@
         request.last_term = snapshot.term
         request.state = snapshot.state
         request.membership.CopyFrom(snapshot.membership)
-        request.probe = self.lead.probe
-        self.lead.progress_of(peer, state.log.last_index).next_index = snapshot.index + 1
+        request.probe = self.leadership.probe
+        self.leadership.progress_of(peer, state.log.last_index).next_index = snapshot.index + 1
         state.ready.early.append(message)
 
-    def note_reply(self, sender: str, reply, now: float) -> bool:
-        """Note a follower's answer, and send what it still misses; see `advance_commit`."""
-        progress = self.lead.known_progress(sender)
+    def handle_reply(self, sender: str, reply, now: float) -> bool:
+        """Record a follower's reply and send the entries that it still lacks.
+
+        Returns
+        -------
+        bool
+            Whether the leader has to step down; see `advance_commit`.
+        """
+        progress = self.leadership.known_progress(sender)
         if progress is None:
             return False
         last_index = self._state.log.last_index
@@ -115,17 +121,17 @@
         return self.advance_commit(now)
 
     def advance_commit(self, now: float) -> bool:
-        """Commit what a quorum holds.
+        """Commit the entries that a quorum holds.
 
         Returns
         -------
         bool
-            Whether the leader has to step down: the membership that is committed
-            does without its vote.
+            Whether the leader has to step down because it is no voter of the
+            committed membership.
         """
         state = self._state
         index = quorum_value(state.membership, self._match_of)
-        # Only entries of the own term are committed by counting (Raft, 5.4.2).
+        # Only entries of the current term are committed by counting replicas (Raft, 5.4.2).
         if index <= state.commit_index or state.log.term_at(index) != state.term:
             return False
         state.commit_index = index
@@ -133,21 +139,21 @@
         return not state.can_vote() and state.log.membership_index() <= index
 
     def _match_of(self, replica: str) -> int:
-        return self._state.persisted if replica == self._state.me else self.lead.match_of(replica)
+        return self._state.persisted if replica == self._state.me else self.leadership.match_of(replica)
 
     def confirm_read(self, token: int, origin: str, now: float) -> None:
-        """Ask a quorum whether this replica still leads, and answer the read then."""
+        """Start a heartbeat round, and answer the read once a quorum confirms that this replica leads."""
         state = self._state
-        # A new leader does not know the newest commit before an entry of its
+        # A new leader does not know the newest committed index until an entry of its
         # own term is committed (Ongaro 2014, 6.4).
-        if state.commit_index < self.lead.term_start:
+        if state.commit_index < self.leadership.term_start:
             state.finish_read(token, origin, 0, confirmed=False)
             return
-        state.reads.add(PendingRead(token, origin, state.commit_index, self.lead.probe + 1))
+        state.reads.add(PendingRead(token, origin, state.commit_index, self.leadership.probe + 1))
         self.broadcast(now)
 
     def _advance_reads(self) -> None:
-        """Answer the reads that a quorum has confirmed."""
+        """Answer the reads whose heartbeat round a quorum has answered."""
         state = self._state
-        for read in state.reads.take_confirmed(self.lead.confirm(state.membership)):
+        for read in state.reads.take_confirmed(self.leadership.confirm(state.membership)):
             state.finish_read(read.token, read.origin, read.index, confirmed=True)
--- a/packages/lanedock/lanedock/consensus/state.py
+++ b/packages/lanedock/lanedock/consensus/state.py
@@ -79,7 +79,7 @@
         """Make a message of the current term to another replica."""
         return messages.PeerMessage(sender=self.me, receiver=receiver, term=self.term)
 
-    def drop_reads(self) -> None:
+    def fail_reads(self) -> None:
         """Fail the driver's own reads, as the leader has changed."""
         self.ready.failed_reads.extend(self.reads.drop(self.me))
 
