--- a/packages/lanedock/lanedock/consensus/core.py
+++ b/packages/lanedock/lanedock/consensus/core.py
@@ -1,5 +1,5 @@
 # SPDX-License-Identifier: BSD-3-Clause
-"""Data that the consensus core and its driver exchange."""
+"""Data types that the consensus core and its driver exchange."""
 
 from enum import Enum
 
@@ -10,12 +10,12 @@
 
 
 def replica_name(replica: str) -> str:
-    """Return the name within a replica's id, ``name@incarnation``."""
+    """Return the name part of a replica id ``name@incarnation``."""
     return replica.partition("@")[0]
 
 
 class ReplicaRole(Enum):
-    """What a replica is at the moment."""
+    """Raft role of a replica."""
 
     FOLLOWER = "follower"
     PRE_CANDIDATE = "pre-candidate"
@@ -24,19 +24,19 @@
 
 
 class Timing:
-    """Durations of the protocol, in seconds.
+    """Timing parameters of the protocol.
 
     Parameters
     ----------
     heartbeat : float
-        Between a leader's heartbeats.
+        Interval between a leader's heartbeats, in seconds.
     election_min, election_max : float
-        Silence after which a follower stands for election. `election_min` is
-        also the time within which a follower supports no other leader, so a
-        leader's lease is a part of it.
+        Bounds of the random election timeout, in seconds. For `election_min`
+        after a leader's message a follower supports no other leader, so a
+        leader's lease is a fraction of it.
     lease_fraction : float
-        Part of `election_min` that a lease lasts; below 1 to allow for clocks
-        that run at different rates.
+        Duration of a lease as a fraction of `election_min`; below 1 to allow for
+        clocks that run at different rates.
     """
 
     __slots__ = ("election_max", "election_min", "heartbeat", "lease_fraction")
@@ -48,23 +48,32 @@
         self.lease_fraction = lease_fraction
 
     @classmethod
-    def for_election(cls, least: float) -> "Timing":
-        """Make the timing for a least silence before elections, in seconds, in the usual proportions."""
-        usual = cls()
-        scale = least / usual.election_min
-        return cls(usual.heartbeat * scale, least, usual.election_max * scale, usual.lease_fraction)
+    def for_election(cls, election_min: float) -> "Timing":
+        """Return the default timing scaled to a minimum election timeout in seconds."""
+        default = cls()
+        scale = election_min / default.election_min
+        return cls(default.heartbeat * scale, election_min, default.election_max * scale, default.lease_fraction)
 
     def __repr__(self) -> str:
         return f"<Timing heartbeat={self.heartbeat} election={self.election_min}..{self.election_max}>"
 
 
 class Progress:
-    """What a leader knows of one other replica.
+    """Replication progress of another replica, as known to the leader.
 
     Parameters
     ----------
     next_index : int
         Index of the next entry to send.
+
+    Attributes
+    ----------
+    match_index : int
+        Index up to which the replica's log is known to match the leader's.
+    probe : int
+        Newest heartbeat round that the replica has answered.
+    acked_at : float
+        Monotonic time, in seconds, of its last reply; minus infinity if none.
     """
 
     __slots__ = ("acked_at", "match_index", "next_index", "probe")
@@ -80,29 +89,30 @@
 
 
 class Ready:
-    """What the driver has to do after it fed the core.
+    """Work that the driver has to do after each call of the core.
 
-    The order is part of the protocol: `early` messages may go at once;
-    `entries` and the hard state are synced to disk; `RaftReplica.persisted` is
-    called; only then `late` messages go and `committed` entries are applied.
+    The order is part of the protocol: `early` messages may be sent at once;
+    `snapshot`, `entries` and the hard state are synced to disk;
+    `RaftReplica.persisted` is called; only then are `late` messages sent and
+    `committed` entries applied.
 
     Attributes
     ----------
     early, late : list of PeerMessage
     entries : list of LogEntry
-        To be appended; one with an index that the log holds already replaces
-        it and all behind it.
+        Entries to append. An entry whose index the stored log already holds
+        replaces that entry and all later ones.
     hard_state_changed : bool
-        Whether term or vote have to be saved.
+        Whether the term and vote have to be saved.
     snapshot : LogSnapshot or None
-        Received from the leader: replaces the log and the applied state.
+        Snapshot received from the leader, which replaces the log and the applied state.
     committed : list of LogEntry
-        To be applied in this order.
+        Entries to apply, in this order.
     reads : list of tuple of (int, int)
-        Tokens of reads that are confirmed, and the index that has to be
-        applied before they are answered.
+        Tokens of confirmed reads, each with the index that has to be applied
+        before the read is answered.
     failed_reads : list of int
-        Tokens of reads that have to be asked again.
+        Tokens of reads that the driver has to request again.
     """
 
     __slots__ = ("committed", "early", "entries", "failed_reads", "hard_state_changed", "late", "reads", "snapshot")
@@ -118,5 +128,5 @@
         self.failed_reads: list[int] = []
 
     def must_sync(self) -> bool:
-        """Tell whether there is something to write to disk."""
+        """Return whether there is data to write to disk."""
         return bool(self.entries) or self.hard_state_changed or self.snapshot is not None
--- a/packages/lanedock/lanedock/consensus/following.py
+++ b/packages/lanedock/lanedock/consensus/following.py
@@ -1,5 +1,5 @@
 # SPDX-License-Identifier: BSD-3-Clause
-"""How a follower makes its log that of the leader."""
+"""Log replication by a follower: accepting the leader's entries and snapshots."""
 
 from lanedock.consensus.log import LogSnapshot
 from lanedock.consensus.state import ReplicaState
@@ -9,12 +9,12 @@
 
 
 def accept_entries(state: ReplicaState, message, request) -> None:
-    """Append a leader's entries where they follow on the own log, and answer.
+    """Append a leader's entries if the log matches before them, and send a reply.
 
     Raises
     ------
     AssertionError
-        An entry would replace a committed one.
+        An entry conflicts with a committed one.
     """
     reply = state.message(message.sender)
     reply.append_reply.probe = request.probe
@@ -25,7 +25,8 @@
         return
     known = state.log.term_at(previous)
     if known is None:
-        # Before the snapshot, so committed here: start behind it.
+        # The entry precedes the snapshot and is committed here, so the leader continues
+        # after the commit index.
         reply.append_reply.match_index = state.commit_index
         return
     if known != request.previous_term:
@@ -43,7 +44,7 @@
     if state.log.term_at(entry.index) == entry.term:
         return
     if entry.index <= state.commit_index:
-        raise AssertionError(f"committed entry {entry.index} would be replaced")
+        raise AssertionError(f"entry {entry.index} of term {entry.term} conflicts with a committed entry")
     state.log.append(entry)
     state.persisted = min(state.persisted, entry.index - 1)
     state.ready.entries.append(entry)
@@ -51,7 +52,7 @@
 
 
 def install_snapshot(state: ReplicaState, message, request) -> None:
-    """Replace the log by a leader's snapshot where it is newer, and answer."""
+    """Replace the log with a leader's snapshot if that is newer, and send a reply."""
     reply = state.message(message.sender)
     reply.append_reply.accepted = True
     reply.append_reply.probe = request.probe
@@ -62,7 +63,7 @@
         state.delivered = snapshot.index
         state.persisted = snapshot.index
         state.membership = snapshot.membership
-        # Entries gathered before are overtaken by the snapshot.
+        # The snapshot supersedes entries that wait to be written.
         state.ready.entries = []
         state.ready.snapshot = snapshot
     reply.append_reply.match_index = state.commit_index
--- a/packages/lanedock/lanedock/consensus/log.py
+++ b/packages/lanedock/lanedock/consensus/log.py
@@ -1,5 +1,5 @@
 # SPDX-License-Identifier: BSD-3-Clause
-"""The part of the replicated log that is held in memory."""
+"""In-memory part of the replicated log: a snapshot and the entries after it."""
 
 from lanedock.wire import messages
 
@@ -7,16 +7,16 @@
 
 
 class LogSnapshot:
-    """The applied state that stands for all entries up to an index.
+    """Applied state that replaces all entries up to an index.
 
     Parameters
     ----------
     index, term : int
-        Of the last entry that it stands for.
+        Index and term of the last entry that the snapshot covers.
     membership : Membership
-        As of that entry.
+        Membership as of that entry.
     state : bytes
-        The state machine's own serialization.
+        Serialized state of the state machine.
     """
 
     __slots__ = ("index", "membership", "state", "term")
@@ -32,13 +32,13 @@
 
 
 class RaftLog:
-    """Entries behind a snapshot, by index.
+    """A snapshot and the log entries after it.
 
     Parameters
     ----------
     snapshot : LogSnapshot
     entries : list of LogEntry
-        With consecutive indices from ``snapshot.index + 1``.
+        Entries with consecutive indices from ``snapshot.index + 1``.
     """
 
     __slots__ = ("entries", "snapshot")
@@ -61,13 +61,13 @@
         return self.entries[-1].term if self.entries else self.snapshot.term
 
     def leader_of(self, term: int) -> str:
-        """Return who leads a term, by its newest entry; empty where there is none of it."""
+        """Return the id of a term's leader if the last entry is of that term, else an empty string."""
         if self.entries and self.entries[-1].term == term:
             return self.entries[-1].leader
         return ""
 
     def term_at(self, index: int) -> int | None:
-        """Return an entry's term, or None where the entry is not held."""
+        """Return an entry's term, or None if the log does not hold the entry."""
         if index == self.snapshot.index:
             return self.snapshot.term
         position = index - self.snapshot.index - 1
@@ -81,18 +81,18 @@
         return self.entries[max(start, 0) : max(last - self.snapshot.index, 0)]
 
     def append(self, entry: messages.LogEntry) -> None:
-        """Append an entry; it replaces one of its index and all behind."""
+        """Append an entry; an entry with its index and all later ones are replaced."""
         position = entry.index - self.snapshot.index - 1
         del self.entries[position:]
         self.entries.append(entry)
 
     def compact(self, snapshot: LogSnapshot) -> None:
-        """Drop the entries that a snapshot stands for."""
+        """Drop the entries that a snapshot covers."""
         self.entries = self.between(snapshot.index + 1, self.last_index)
         self.snapshot = snapshot
 
     def reset(self, snapshot: LogSnapshot) -> None:
-        """Replace everything by a snapshot."""
+        """Replace the whole log with a snapshot."""
         self.snapshot = snapshot
         self.entries = []
 
@@ -104,7 +104,7 @@
         return self.snapshot.membership
 
     def membership_index(self) -> int:
-        """Return the index of the entry that set the membership."""
+        """Return the index of the entry that set the newest membership, or the snapshot's index."""
         for entry in reversed(self.entries):
             if entry.HasField("membership"):
                 return entry.index
--- a/packages/lanedock/lanedock/consensus/reads.py
+++ b/packages/lanedock/lanedock/consensus/reads.py
@@ -1,22 +1,22 @@
 # SPDX-License-Identifier: BSD-3-Clause
-"""Reads that wait to be confirmed."""
+"""Linearizable reads that wait for confirmation."""
 
 __all__ = ["PendingRead", "ReadQueue"]
 
 
 class PendingRead:
-    """A read at the leader.
+    """A read that waits at the leader for a quorum.
 
     Parameters
     ----------
     token : int
-        The asking driver's.
+        Number that the requesting replica's driver gave the read.
     origin : str
-        The replica that asked.
+        Id of the replica that requested the read.
     index : int
-        What has to be applied before the read is answered.
+        Log index that has to be applied before the read is answered.
     probe : int
-        The round of heartbeats that confirms it.
+        Heartbeat round that confirms the read once a quorum has answered it.
     """
 
     __slots__ = ("index", "origin", "probe", "token")
@@ -32,7 +32,7 @@
 
 
 class ReadQueue:
-    """The reads of one replica: those it confirms as leader, those it has sent to the leader."""
+    """Reads of one replica: pending ones as leader, and those forwarded to the leader."""
 
     def __init__(self):
         self._pending: list[PendingRead] = []
@@ -42,28 +42,28 @@
         return f"<ReadQueue pending={len(self._pending)} forwarded={len(self._forwarded)}>"
 
     def add(self, read: PendingRead) -> None:
-        """Wait for a round of heartbeats."""
+        """Add a read that waits for its heartbeat round."""
         self._pending.append(read)
 
     def take_confirmed(self, probe: int) -> list[PendingRead]:
-        """Return the reads that a quorum's answers up to a round confirm."""
+        """Remove and return the reads that round `probe` or an earlier one confirms."""
         confirmed = [read for read in self._pending if read.probe <= probe]
         self._pending = [read for read in self._pending if read.probe > probe]
         return confirmed
 
     def forward(self, token: int) -> None:
-        """Wait for the leader's answer."""
+        """Record that a read was forwarded to the leader."""
         self._forwarded.add(token)
 
     def take_forwarded(self, token: int) -> bool:
-        """Tell whether an answer was waited for, once."""
+        """Remove a forwarded read; return whether it was waiting for an answer."""
         if token not in self._forwarded:
             return False
         self._forwarded.discard(token)
         return True
 
-    def drop(self, me: str) -> list[int]:
-        """Drop everything, as the leader has changed; return the own driver's tokens."""
+    def clear(self, me: str) -> list[int]:
+        """Remove all reads and return the tokens of those that this replica's own driver requested."""
         own = [read.token for read in self._pending if read.origin == me]
         own += sorted(self._forwarded)
         self._pending = []
--- a/packages/lanedock/lanedock/consensus/state.py
+++ b/packages/lanedock/lanedock/consensus/state.py
@@ -1,5 +1,5 @@
 # SPDX-License-Identifier: BSD-3-Clause
-"""The state of one replica: what it persists, what it knows, and what there is to do."""
+"""State of one replica: persistent and volatile Raft state, and pending work for the driver."""
 
 from lanedock.consensus.core import Ready, ReplicaRole
 from lanedock.consensus.log import RaftLog
@@ -10,7 +10,7 @@
 
 
 class ReplicaState:
-    """What the parts of one replica read and change.
+    """State that the components of one replica share.
 
     Parameters
     ----------
@@ -19,24 +19,24 @@
     log : RaftLog
     term : int
     voted_for : str
-        Empty where no vote was given in this term.
+        Id of the replica that got the vote in this term; empty if none did.
 
     Attributes
     ----------
     role : ReplicaRole
     leader : str
-        Id of the current term's leader; empty where it is not known.
+        Id of the current term's leader; empty if unknown.
     commit_index : int
         Index of the last entry known to be committed.
     delivered : int
-        Index of the last entry handed out as committed.
+        Index of the last entry passed to the driver as committed.
     persisted : int
         Index of the last entry synced to disk.
     membership : Membership
-        The newest of the log, committed or not.
+        Newest membership of the log, committed or not.
     reads : ReadQueue
     ready : Ready
-        What the driver has to do.
+        Pending work for the driver.
     """
 
     __slots__ = (
@@ -72,19 +72,19 @@
         return f"<ReplicaState {self.me} {self.role.value} term={self.term} commit={self.commit_index} {self.log!r}>"
 
     def can_vote(self) -> bool:
-        """Tell whether this replica is a voter."""
+        """Return whether this replica is a voter."""
         return self.me in self.membership.voters
 
     def message(self, receiver: str) -> messages.PeerMessage:
-        """Make a message of the current term to another replica."""
+        """Return a new message of the current term to another replica."""
         return messages.PeerMessage(sender=self.me, receiver=receiver, term=self.term)
 
     def fail_reads(self) -> None:
-        """Fail the driver's own reads, as the leader has changed."""
-        self.ready.failed_reads.extend(self.reads.drop(self.me))
+        """Clear the read queue after a change of leader, and fail this replica's own reads."""
+        self.ready.failed_reads.extend(self.reads.clear(self.me))
 
     def finish_read(self, token: int, origin: str, index: int, confirmed: bool) -> None:
-        """Answer a read to the replica that asked, or to the own driver."""
+        """Answer a read that another replica or this replica's own driver requested."""
         if origin != self.me:
             message = self.message(origin)
             message.read_index_reply.token = token
--- a/packages/lanedock/lanedock/consensus/storage.py
+++ b/packages/lanedock/lanedock/consensus/storage.py
@@ -3,11 +3,12 @@
 
 Files of the folder:
 
-- ``identity`` names the replica whose folder it is;
-- ``log`` holds records: entries, hard states, and after compaction a snapshot
-  in front; it is replaced as a whole by writing ``log.new`` and renaming;
-- ``synced`` records how much of ``log`` was synced for certain, so that a torn
-  tail, which is cut off, differs from a synced record gone bad, which is not.
+- ``identity`` holds the id of the replica that owns the folder;
+- ``log`` holds records: a snapshot first, then hard states and entries. It is
+  replaced as a whole by writing ``log.new`` and renaming that;
+- ``synced`` holds the length of ``log`` that is known to be synced. A bad record
+  beyond that length is a torn tail and is truncated; one within it is
+  corruption and an error.
 """
 
 import os
@@ -23,8 +24,8 @@
 __all__ = ["FileStorage", "HardState", "LogStorage", "Restored", "StorageError"]
 
 _HEADER = struct.Struct(">IIB")  # length of the payload, CRC-32 of kind and payload, kind
-_HARD_STATE = struct.Struct(">Q")
-_SYNCED = struct.Struct(">QI")
+_HARD_STATE = struct.Struct(">Q")  # term; the id of the voted-for replica follows
+_SYNCED_LENGTH = struct.Struct(">QI")  # synced length in bytes, CRC-32 of the packed length
 _KIND_ENTRY = 1
 _KIND_HARD_STATE = 2
 _KIND_SNAPSHOT = 3
@@ -32,17 +33,17 @@
 
 
 class StorageError(LanedockError):
-    """The disk can't be written, or what it holds can't be trusted."""
+    """The log cannot be written, or the stored log is corrupt."""
 
 
 class HardState:
-    """What a replica must not forget besides its log.
+    """Term and vote of a replica, which have to be persistent in addition to its log.
 
     Parameters
     ----------
     term : int
     voted_for : str
-        Empty for nobody.
+        Id of the replica that got the vote in this term; empty if none did.
     """
 
     __slots__ = ("term", "voted_for")
@@ -56,14 +57,14 @@
 
 
 class Restored:
-    """What a storage held when it was opened.
+    """Stored data found when a storage was opened.
 
     Parameters
     ----------
     hard_state : HardState
     log : RaftLog
     cut_bytes : int
-        Length of a torn tail that was cut off.
+        Length, in bytes, of a torn tail that was truncated.
     """
 
     __slots__ = ("cut_bytes", "hard_state", "log")
@@ -78,21 +79,21 @@
 
 
 class LogStorage(ABC):
-    """Where a replica keeps its log. Calls return when the data is synced."""
+    """Durable storage of a replica's log. Calls that write return once the data is synced."""
 
     @abstractmethod
     def restore(self) -> Restored:
-        """Return what is stored.
+        """Return the stored hard state and log.
 
         Raises
         ------
         StorageError
-            `ErrorCode.LOG_CORRUPT` where it can't be trusted.
+            `ErrorCode.LOG_CORRUPT` if the stored data is unreadable or corrupt.
         """
 
     @abstractmethod
     def save(self, hard_state: HardState | None, entries: list[messages.LogEntry]) -> None:
-        """Append a hard state, if given, and entries, and sync them.
+        """Append a hard state, if given, and entries, and sync them to disk.
 
         Raises
         ------
@@ -102,7 +103,7 @@
 
     @abstractmethod
     def replace(self, snapshot: LogSnapshot, hard_state: HardState, entries: list[messages.LogEntry]) -> None:
-        """Replace everything stored, at once and synced.
+        """Replace all stored data atomically and sync it to disk.
 
         Raises
         ------
@@ -131,15 +132,15 @@
 
 
 class FileStorage(LogStorage):
-    """A log in a data folder.
+    """Log storage in the files of a data folder.
 
     Parameters
     ----------
     folder : str
-        Exists; belongs to this replica alone.
+        Path of the data folder, which only this replica uses.
     sync : callable, optional
-        Takes a file descriptor and returns once its data is on disk;
-        `os.fsync` where it is left out.
+        Takes a file descriptor and returns once its data is on disk; by default
+        `os.fsync`.
     """
 
     def __init__(self, folder: str, sync=os.fsync):
@@ -154,27 +155,27 @@
     # ---------------------------------------------------------------- identity
 
     def read_identity(self) -> str:
-        """Return the replica id that the folder belongs to; empty for a new folder."""
+        """Return the id of the replica that owns the folder; empty for a new folder."""
         try:
             return (self._folder / "identity").read_text(encoding="utf-8").strip()
         except FileNotFoundError:
             return ""
         except (OSError, UnicodeDecodeError) as exc:
-            raise StorageError(ErrorCode.LOG_CORRUPT, f"identity: {exc}") from exc
+            raise StorageError(ErrorCode.LOG_CORRUPT, f"cannot read the identity file: {exc}") from exc
 
     def initialize(self, replica: str, membership: messages.Membership) -> None:
-        """Make a new folder that of a replica.
+        """Create the folder's files for a new replica.
 
         Parameters
         ----------
         replica : str
             Id, ``name@incarnation``.
         membership : Membership
-            The first voters, or empty for a replica that asks to join.
+            The initial voters; empty for a replica that requests admission.
         """
         self._folder.mkdir(parents=True, exist_ok=True)
         self.replace(LogSnapshot(0, 0, membership, b""), HardState(), [])
-        self._write_whole("identity", replica.encode())
+        self._write_atomically("identity", replica.encode())
         self._sync_folder()
 
     # ------------------------------------------------------------------ reading
@@ -184,11 +185,13 @@
         synced = self._read_synced()
         records, end = _unpack_records(data)
         if end < synced or not records or records[0][0] != _KIND_SNAPSHOT:
-            raise StorageError(ErrorCode.LOG_CORRUPT, f"record at byte {end} of {synced} synced ones is bad")
+            raise StorageError(
+                ErrorCode.LOG_CORRUPT, f"bad record at byte {end} of the log; {synced} bytes were synced"
+            )
         self._open(end)
         if end < len(data):
             self._file.truncate(end)
-            self._guarded(lambda: self._sync(self._file.fileno()))
+            self._run_write(lambda: self._sync(self._file.fileno()))
         restored = _replay(records)
         restored.cut_bytes = len(data) - end
         return restored
@@ -200,9 +203,9 @@
             raise StorageError(ErrorCode.LOG_CORRUPT, str(exc)) from exc
 
     def _read_synced(self) -> int:
-        """Return how much was certainly synced; 0 where that is not known."""
+        """Return the length, in bytes, of the log that is known to be synced; 0 if unknown."""
         try:
-            length, checksum = _SYNCED.unpack((self._folder / "synced").read_bytes())
+            length, checksum = _SYNCED_LENGTH.unpack((self._folder / "synced").read_bytes())
         except (OSError, struct.error):
             return 0
         return length if zlib.crc32(struct.pack(">Q", length)) == checksum else 0
@@ -216,12 +219,12 @@
     def save(self, hard_state: HardState | None, entries: list[messages.LogEntry]) -> None:
         parts = [_pack_hard_state(hard_state)] if hard_state else []
         parts += [_pack(_KIND_ENTRY, entry.SerializeToString()) for entry in entries]
-        self._guarded(lambda: self._append(b"".join(parts)))
+        self._run_write(lambda: self._append(b"".join(parts)))
 
     def replace(self, snapshot: LogSnapshot, hard_state: HardState, entries: list[messages.LogEntry]) -> None:
         parts = [_pack_snapshot(snapshot), _pack_hard_state(hard_state)]
         parts += [_pack(_KIND_ENTRY, entry.SerializeToString()) for entry in entries]
-        self._guarded(lambda: self._replace(b"".join(parts)))
+        self._run_write(lambda: self._replace(b"".join(parts)))
 
     def size(self) -> int:
         return self._file.tell() if self._file else 0
@@ -232,10 +235,12 @@
             self._file.close()
             self._file = None
 
-    def _guarded(self, write) -> None:
-        """Run a write; after a failure what is on disk is unknown, so no more follow."""
+    def _run_write(self, write) -> None:
+        """Run a write; after a failure refuse all later ones, as the data on disk is then unknown."""
         if self._failed:
-            raise StorageError(ErrorCode.DISK_FAILED, "an earlier write failed")
+            raise StorageError(
+                ErrorCode.DISK_FAILED, "an earlier write or sync failed; the storage accepts no more writes"
+            )
         try:
             write()
         except OSError as exc:
@@ -247,18 +252,18 @@
         while view:
             view = view[self._file.write(view) :]
         self._sync(self._file.fileno())
-        self._note_synced(self._file.tell())
+        self._save_synced_length(self._file.tell())
 
     def _replace(self, data: bytes) -> None:
-        # First, that nothing of the new file is known to be synced: a crash in
-        # between must not judge the new file by the old one's length.
-        self._note_synced(0)
-        self._write_whole("log", data)
+        # Resets the synced length first, so that after a crash the new file is not checked
+        # against the old file's length.
+        self._save_synced_length(0)
+        self._write_atomically("log", data)
         self.close()
         self._open(len(data))
-        self._note_synced(len(data))
+        self._save_synced_length(len(data))
 
-    def _write_whole(self, name: str, data: bytes) -> None:
+    def _write_atomically(self, name: str, data: bytes) -> None:
         path = self._folder / (name + ".new")
         with open(path, "wb") as file:
             file.write(data)
@@ -274,8 +279,8 @@
         finally:
             os.close(descriptor)
 
-    def _note_synced(self, length: int) -> None:
-        """Note a synced length. Losing the note only weakens the check."""
+    def _save_synced_length(self, length: int) -> None:
+        """Record the synced length. It is not synced itself: its loss only weakens the check."""
         packed = struct.pack(">Q", length)
         data = packed + struct.pack(">I", zlib.crc32(packed))
         with open(self._folder / "synced", "wb") as file:
@@ -283,7 +288,7 @@
 
 
 def _unpack_records(data: bytes) -> tuple[list[tuple[int, bytes]], int]:
-    """Return the records up to the first bad one, and where they end."""
+    """Return the records before the first bad one, and the byte position at which they end."""
     records = []
     position = 0
     while position + _HEADER.size <= len(data):
