--- a/packages/lanedock/lanedock/kernel/__init__.py
+++ b/packages/lanedock/lanedock/kernel/__init__.py
@@ -1,7 +1,7 @@
 # SPDX-License-Identifier: BSD-3-Clause
-"""A micro-kernel: services by name, started in order and stopped in reverse.
+"""A microkernel: named services that are started in order and stopped in reverse order.
 
-`lanedock.kernel.loop` holds the asyncio loop, which only gRPC needs.
+`lanedock.kernel.loop` contains the asyncio event loop, which only gRPC needs.
 """
 
 from lanedock.kernel.core import Kernel, KernelError, Service, TaskService
--- a/packages/lanedock/lanedock/kernel/core.py
+++ b/packages/lanedock/lanedock/kernel/core.py
@@ -1,5 +1,5 @@
 # SPDX-License-Identifier: BSD-3-Clause
-"""The kernel and the base classes of its services."""
+"""Service registry of a process, and base classes of services."""
 
 from abc import ABC, abstractmethod
 
@@ -14,39 +14,41 @@
 
 
 class KernelError(LanedockError):
-    """A service is missing, or its name is taken."""
+    """A service is not registered, or its name is already in use."""
 
 
 class Service(ABC):
-    """A part of a process that others find by name.
+    """A component of a process that other components look up by name.
 
     Attributes
     ----------
     name : str
-        Unique in its kernel.
+        Name of the service, unique within its kernel.
     """
 
     name = ""
 
     @abstractmethod
     def start(self, kernel: "Kernel") -> None:
-        """Start; services added before are running already."""
+        """Start the service; services added before it are already running."""
 
     def begin_stop(self) -> None:
-        """Begin to stop; all services do before the first of them stops."""
+        """Prepare to stop; called on all started services before the first one is stopped."""
 
     @abstractmethod
     def stop(self) -> None:
-        """Stop, and return when nothing of it runs any more."""
+        """Stop the service; return once none of its tasks runs."""
 
 
 class Kernel:
-    """Services by name.
+    """Registry that starts and stops the services of a process.
 
     Attributes
     ----------
     failed : gevent.event.Event
-        Set once a service has failed; `failure` then holds why.
+        Set once a service has failed.
+    failure : BaseException or None
+        Exception of the first service that failed.
     """
 
     def __init__(self):
@@ -64,10 +66,10 @@
         Raises
         ------
         KernelError
-            The name is taken.
+            A service of this name is already registered.
         """
         if service.name in self._services:
-            raise KernelError(ErrorCode.SERVICE_MISSING, f"the name {service.name!r} is taken")
+            raise KernelError(ErrorCode.SERVICE_MISSING, f"a service named {service.name!r} is already registered")
         self._services[service.name] = service
 
     def find(self, name: str) -> Service:
@@ -76,17 +78,17 @@
         Raises
         ------
         KernelError
-            There is none.
+            No service of this name is registered.
         """
         service = self._services.get(name)
         if service is None:
-            raise KernelError(ErrorCode.SERVICE_MISSING, f"there is no service {name!r}")
+            raise KernelError(ErrorCode.SERVICE_MISSING, f"no service named {name!r} is registered")
         return service
 
     def start(self) -> None:
         """Start all services in the order in which they were added.
 
-        When one fails to start, those started before are stopped.
+        If a service fails to start, the services started before it are stopped.
         """
         for service in list(self._services.values()):
             try:
@@ -97,7 +99,7 @@
             self._started.append(service)
 
     def fail(self, exc: BaseException) -> None:
-        """Note that a service can't go on; the process is to stop."""
+        """Record the failure of a service, after which the process has to stop."""
         if self.failure is None:
             self.failure = exc
             self.failed.set()
@@ -105,8 +107,9 @@
     def stop(self) -> None:
         """Stop all started services in reverse order.
 
-        All begin to stop first: were one waited for before the next one begins, the
-        later ones would take up work that they have no time left for.
+        `Service.begin_stop` is called on all of them first. Otherwise services that
+        are stopped later would accept work, while the first ones stop, that they have no
+        time left to finish.
         """
         for service in reversed(self._started):
             service.begin_stop()
@@ -115,12 +118,12 @@
 
 
 class TaskService(Service):
-    """A service that is one task: it owns its state and takes messages.
+    """A service that runs as one task, which owns its state and handles queued messages.
 
     Parameters
     ----------
     tick : float
-        Longest time between two calls of `on_tick`, in seconds.
+        Interval between calls of `on_tick`, in seconds; longer while messages are handled.
     """
 
     def __init__(self, tick: float):
@@ -129,12 +132,12 @@
         self._task = None
 
     def post(self, message: object) -> None:
-        """Put a message into the task's mailbox; never waits."""
+        """Put a message into the task's mailbox without blocking."""
         self._mailbox.put(message)
 
     def start(self, kernel: Kernel) -> None:
         self.on_start(kernel)
-        self._task = gevent.spawn(self._guard, kernel)
+        self._task = gevent.spawn(self._run_or_fail, kernel)
 
     def stop(self) -> None:
         if self._task is not None:
@@ -142,8 +145,8 @@
             self._task = None
         self.on_stop()
 
-    def _guard(self, kernel: Kernel) -> None:
-        """Run; a task whose state may be half changed must not go on."""
+    def _run_or_fail(self, kernel: Kernel) -> None:
+        """Run the task; report an exception to the kernel, as the task's state may be inconsistent."""
         try:
             self._run()
         except Exception as exc:
@@ -151,8 +154,8 @@
             raise
 
     def _run(self) -> None:
-        # Not the event loop's own time, which follows the time of day: a step back would
-        # hold up ticks for as long, and with them a leader's heartbeats.
+        # The event loop's time follows the wall clock. A backward step of that clock would
+        # delay ticks, and with them a leader's heartbeats, by as much.
         next_tick = monotonic()
         while True:
             try:
@@ -168,14 +171,14 @@
                 self.on_tick()
 
     def on_start(self, kernel: Kernel) -> None:
-        """Prepare, before the task begins."""
+        """Prepare the service before its task starts."""
 
     def on_stop(self) -> None:
-        """Clean up, after the task has ended."""
+        """Clean up after the task has ended."""
 
     @abstractmethod
     def on_messages(self, batch: list[object]) -> None:
-        """Handle all messages that were waiting, at least one."""
+        """Handle all queued messages; `batch` is never empty."""
 
     def on_tick(self) -> None:
-        """Act on the time."""
+        """Handle a tick, for example by checking timeouts."""
--- a/packages/lanedock/lanedock/kernel/loop.py
+++ b/packages/lanedock/lanedock/kernel/loop.py
@@ -1,9 +1,9 @@
 # SPDX-License-Identifier: BSD-3-Clause
-"""An asyncio loop in a greenlet, for `grpclib`.
+"""An asyncio event loop in a greenlet, for `grpclib`.
 
-grpclib needs asyncio. With gevent's patches the loop's selector is gevent's,
-so it runs in a greenlet beside all others, in the same thread: what it shares
-with them needs no locks, and only waking it needs `call_soon_threadsafe`.
+grpclib needs asyncio. With gevent's monkey patches the loop uses gevent's selector
+and runs in a greenlet of the same thread as all others. State shared with them
+therefore needs no locks; only waking the loop needs `call_soon_threadsafe`.
 """
 
 import asyncio
@@ -17,7 +17,7 @@
 
 
 class LoopService(Service):
-    """The asyncio loop of a process."""
+    """The asyncio event loop of a process."""
 
     name = "loop"
 
@@ -48,7 +48,7 @@
         self._loop.call_later(0.05, self._loop.stop)
 
     def call(self, function, *args) -> None:
-        """Run a function inside the loop, soon; from any greenlet."""
+        """Schedule a function call inside the loop; may be called from any greenlet."""
         self._loop.call_soon_threadsafe(function, *args)
 
     def spawn(self, coroutine) -> None:
@@ -56,12 +56,12 @@
         self._loop.call_soon_threadsafe(self._start_task, coroutine, None)
 
     def wait(self, coroutine, timeout: float | None = None):
-        """Run a coroutine and wait, as a greenlet, for its result.
+        """Run a coroutine inside the loop and block the calling greenlet until its result is available.
 
         Raises
         ------
         Exception
-            Whatever the coroutine raises; `gevent.Timeout` after `timeout`
+            Any exception of the coroutine; `gevent.Timeout` after `timeout`
             seconds.
         """
         result = AsyncResult()
@@ -86,4 +86,6 @@
             else:
                 result.set(task.result())
         elif exc is not None:
-            self._loop.call_exception_handler({"message": "task failed", "exception": exc, "task": task})
+            self._loop.call_exception_handler(
+                {"message": "asyncio task failed with an unhandled exception", "exception": exc, "task": task}
+            )
--- a/packages/lanedock/lanedock/kernel/stop_plan.py
+++ b/packages/lanedock/lanedock/kernel/stop_plan.py
@@ -1,38 +1,39 @@
 # SPDX-License-Identifier: BSD-3-Clause
-"""The one deadline of a process that stops."""
+"""Shared shutdown deadline of a process."""
 
 __all__ = ["StopPlan"]
 
-# Seconds from the deadline on in which final answers are written and answers that
-# stream out may still end; then connections are cut. A hundred final answers took
-# 0.04 s on a whole core.
+# Time after the deadline, in seconds, in which final answers are written and streamed
+# answers may still end; connections are closed after it. A hundred final answers take
+# 0.04 s on one CPU core.
 ANSWER_TIME = 0.2
-# What begins once callers should have gone elsewhere has to leave so many times what it is
-# expected to take: the few that take longer would be answered for while they still run.
-LATE_MARGIN = 2.0
+# Multiple of its expected duration that work beginning after the linger time must have left
+# until the deadline. The few requests that take longer than expected would otherwise get
+# their final answer while they still run.
+POST_LINGER_MARGIN = 2.0
 _NEVER = float("inf")
 
 
 class StopPlan:
-    """What all servers of a process, and its requests, know of its stop.
+    """Shutdown deadline shared by all servers of a process and their requests.
 
-    With a limit for each server, the servers that stop later accept what they can't
-    end any more, and the sum of the limits is longer than the process has.
-    Monotonic times are passed in; all are in seconds.
+    With a separate time limit for each server, servers that stop later would accept
+    requests that they cannot finish, and the sum of the limits would exceed the
+    shutdown time of the process. All times are in seconds; `now` is monotonic time.
 
     Parameters
     ----------
     linger : float
-        Time from the stop's beginning for which callers are still served.
+        Time after the start of the shutdown for which callers are still served.
     limit : float
-        Time from then to the deadline.
+        Time from the start of the shutdown to the deadline; at least `linger` is used.
 
     Attributes
     ----------
     linger : float
     deadline : float
-        Monotonic: when everything in progress gets its final answer. Infinite
-        until the stop begins.
+        Monotonic time at which all requests in progress get their final answer.
+        Infinite until the shutdown begins.
     """
 
     def __init__(self, linger: float = 0.0, limit: float = 0.0):
@@ -45,30 +46,30 @@
 
     @property
     def is_begun(self) -> bool:
-        """Whether the process stops."""
+        """Whether the shutdown has begun."""
         return self.deadline < _NEVER
 
     @property
     def cut_at(self) -> float:
-        """Monotonic: when connections are cut, whatever is still on them."""
+        """Monotonic time at which connections are closed, even with answers in progress."""
         return self.deadline + ANSWER_TIME
 
     def begin(self, now: float) -> None:
-        """Begin the stop; once begun, it keeps its deadline."""
+        """Begin the shutdown and set its deadline; later calls have no effect."""
         if not self.is_begun:
             self.deadline = now + self._limit
 
     def allows(self, needed: float, now: float) -> bool:
-        """Tell whether what takes `needed` seconds can be expected to end in time."""
-        is_late = self.is_begun and not self.linger_left(now)
-        return now + needed * (LATE_MARGIN if is_late else 1.0) <= self.deadline
+        """Return whether work that takes `needed` seconds is expected to end by the deadline."""
+        is_after_linger = self.is_begun and not self.linger_left(now)
+        return now + needed * (POST_LINGER_MARGIN if is_after_linger else 1.0) <= self.deadline
 
     def start_by(self, needed: float) -> float | None:
-        """Return until when what takes `needed` seconds may begin; None where there is no limit."""
+        """Return the latest start time of work that takes `needed` seconds; None before the shutdown."""
         return self.deadline - needed if self.is_begun else None
 
     def linger_left(self, now: float) -> float:
-        """Return for how long callers still come here."""
+        """Return the remaining time, in seconds, for which callers are served; 0 before the shutdown."""
         if not self.is_begun:
             return 0.0
         return max(0.0, self.deadline - self._limit + self.linger - now)
--- a/packages/lanedock/lanedock/wire/__init__.py
+++ b/packages/lanedock/lanedock/wire/__init__.py
@@ -1,5 +1,5 @@
 # SPDX-License-Identifier: BSD-3-Clause
-"""Messages between lanedock's own processes, generated from ``lanedock.proto``."""
+"""Protobuf messages between lanedock's processes, generated from ``lanedock.proto``."""
 
 from lanedock.wire import lanedock_pb2 as messages
 
