--- a/packages/lanedock/lanedock/consensus/joining.py
+++ b/packages/lanedock/lanedock/consensus/joining.py
@@ -1,5 +1,5 @@
 # SPDX-License-Identifier: BSD-3-Clause
-"""Admission requests: sending them as a non-voter, and handling those of other replicas."""
+"""Admission requests: sending this replica's own, and handling those of other replicas."""
 
 from random import Random
 
@@ -66,9 +66,9 @@
         A replica that lost its disk returns under its name with another
         incarnation, and two incarnations never run at once. The lease holder has
         run before, so once another incarnation is known to run now, the lease holder
-        has ended and its lease no longer binds. A delayed message could come from an even earlier
-        incarnation and proves nothing, so the challenge carries a new token that
-        only a running process can return.
+        has ended and nobody has to wait for its lease. A delayed message could come
+        from an even earlier incarnation and proves nothing, so the challenge carries a
+        new token that only a running process can return.
         """
         lease_holder = self._election.lease_holder
         if joiner == lease_holder or replica_name(joiner) != replica_name(lease_holder):
--- a/packages/lanedock/lanedock/consensus/leadership.py
+++ b/packages/lanedock/lanedock/consensus/leadership.py
@@ -71,7 +71,7 @@
         return progress is not None and now - progress.acked_at < self._timing.election_min
 
     def silence_of(self, replica: str, now: float) -> float:
-        """Return the time, in seconds, since a replica last answered this leader or the election began."""
+        """Return the time, in seconds, since a replica's last reply to this leader, or since the election."""
         progress = self._progress.get(replica)
         heard_at = progress.acked_at if progress else self._started_at
         return now - max(heard_at, self._started_at)
--- a/packages/lanedock/lanedock/consensus/replica.py
+++ b/packages/lanedock/lanedock/consensus/replica.py
@@ -49,7 +49,7 @@
     now : float
         Monotonic time in seconds; every later call passes its own.
     contacts : tuple of str
-        Names of the replicas to which a non-voter sends its admission requests.
+        Names of the replicas to which this replica sends its admission requests.
     replace_after : float, optional
         Silence, in seconds, after which a learner replaces a voter. If None, the
         set of replica names is fixed and a learner only replaces its own
@@ -123,7 +123,7 @@
 
     @property
     def contacts(self) -> tuple[str, ...]:
-        """Names of the replicas to which a non-voter sends its admission requests."""
+        """Names of the replicas to which this replica sends its admission requests."""
         return self._joining.contacts
 
     @contacts.setter
