--- a/packages/lanedock/lanedock/consensus/tests/replicas.py
+++ b/packages/lanedock/lanedock/consensus/tests/replicas.py
@@ -1,5 +1,5 @@
 # SPDX-License-Identifier: BSD-3-Clause
-"""A few replicas with fake disks and a fake network, for tests of the pure core."""
+"""Simulated cluster with in-memory disks and network, for tests of the consensus core."""
 
 from random import Random
 
@@ -11,7 +11,7 @@
 
 
 class Node:
-    """A replica, its disk, and the state machine: a list of payloads."""
+    """A replica, its simulated disk, and its state machine, which is a list of payloads."""
 
     def __init__(self, replica_id: str, membership: messages.Membership, cluster: "Cluster"):
         self.id = replica_id
@@ -39,8 +39,8 @@
     def crash(self) -> None:
         self.replica = None
 
-    def pump(self) -> None:
-        """Do what the core says; a crash may come before the disk is synced."""
+    def process_ready(self) -> None:
+        """Process the core's pending work; a scheduled crash happens before the disk is synced."""
         while self.replica is not None:
             ready = self.replica.take_ready()
             self.cluster.send(ready.early)
@@ -54,7 +54,7 @@
                 self.applied = _decode(ready.snapshot.state)
             for entry in ready.committed:
                 self.applied.append((entry.index, entry.payload))
-            self.cluster.note_reads(self, ready.reads)
+            self.cluster.record_reads(self, ready.reads)
             if not (ready.early or ready.late or ready.committed or ready.must_sync()):
                 return
 
@@ -70,7 +70,7 @@
         self.disk[2:] = [replica.term, replica.voted_for]
 
     def compact(self) -> None:
-        """Replace the applied part of the log by a snapshot."""
+        """Replace the applied part of the log with a snapshot."""
         log = self.replica.log
         index = self.applied[-1][0] if self.applied else 0
         if index <= log.snapshot.index or log.membership_index() > index:
@@ -93,7 +93,7 @@
 
 
 class Cluster:
-    """Replicas that share a clock and a network that loses what it is set to lose."""
+    """Replicas that share a clock and a network with configurable partitions."""
 
     def __init__(self, names: tuple[str, ...], seed: int):
         self.names = names
@@ -114,26 +114,26 @@
         node.crash()
         return True
 
-    def note_reads(self, node: Node, reads) -> None:
+    def record_reads(self, node: Node, reads) -> None:
         self.reads += [(node.id, token, index) for token, index in reads]
 
     def send(self, batch) -> None:
         for message in batch:
-            # A copy, as the wire makes one: entries must not be shared.
+            # Copied as by a real network, so that replicas do not share entries.
             self.wire.append(messages.PeerMessage.FromString(message.SerializeToString()))
 
     def deliver(self, position: int, keep: bool = False) -> None:
-        """Deliver one message, which may be left on the wire to come again."""
+        """Deliver one message; with `keep` it stays in the network and can be delivered again."""
         message = self.wire[position] if keep else self.wire.pop(position)
-        ends = frozenset((replica_name(message.sender), replica_name(message.receiver)))
+        link = frozenset((replica_name(message.sender), replica_name(message.receiver)))
         node = self.nodes[replica_name(message.receiver)]
-        if ends in self.cut or node.replica is None:
+        if link in self.cut or node.replica is None:
             return
         node.replica.step(message, self.now)
-        node.pump()
+        node.process_ready()
 
     def run(self, seconds: float, step: float = 0.05) -> None:
-        """Let time pass with everything delivered in order."""
+        """Advance the clock by `seconds`, delivering all messages in order."""
         until = self.now + seconds
         while self.now < until:
             self.tick(step)
@@ -147,10 +147,10 @@
         for node in self.nodes.values():
             if node.replica is not None:
                 node.replica.tick(self.now)
-                node.pump()
+                node.process_ready()
 
     def isolate(self, name: str) -> None:
-        """Cut a replica off from all others, in silence."""
+        """Drop all messages between a replica and the others."""
         for other in self.names:
             if other != name:
                 self.cut.add(frozenset((name, other)))
@@ -159,15 +159,15 @@
         self.cut.clear()
 
     def leaders(self) -> list[Node]:
-        """Return the replicas that act as leaders at this moment."""
+        """Return the replicas that currently hold a leader lease."""
         alive = [node for node in self.nodes.values() if node.replica is not None]
         return [node for node in alive if node.replica.is_leader(self.now)]
 
     def lose_disk(self, name: str, incarnation: str) -> None:
-        """Replace a replica by one with an empty disk and another incarnation."""
+        """Replace a replica with one that has an empty disk and another incarnation."""
         self.nodes[name] = Node(f"{name}@{incarnation}", messages.Membership(), self)
 
     def propose(self, node: Node, payload: bytes) -> int | None:
         index = node.replica.propose(payload, self.now)
-        node.pump()
+        node.process_ready()
         return index
--- a/packages/lanedock/lanedock/consensus/tests/test_replacement.py
+++ b/packages/lanedock/lanedock/consensus/tests/test_replacement.py
@@ -1,5 +1,5 @@
 # SPDX-License-Identifier: BSD-3-Clause
-"""Tests of membership without a list: learners take the places of silent voters."""
+"""Tests of dynamic membership, in which learners replace silent voters."""
 
 from random import Random
 
@@ -12,7 +12,7 @@
 
 
 class _Group:
-    """Replicas that exchange messages at once, unless they are down."""
+    """Replicas that exchange messages without delay; those in `down` are stopped."""
 
     def __init__(self, voters: list[str]):
         self.now = 0.0
@@ -55,8 +55,8 @@
 
     def _deliver(self, message) -> None:
         for name, replica in self.replicas.items():
-            named = name == message.receiver or name.partition("@")[0] == message.receiver
-            if named and name not in self.down:
+            is_receiver = name == message.receiver or name.partition("@")[0] == message.receiver
+            if is_receiver and name not in self.down:
                 replica.step(message, self.now)
 
     @property
@@ -72,7 +72,7 @@
         return set(self.leader.membership.voters)
 
 
-def _started() -> _Group:
+def _started_group() -> _Group:
     group = _Group(["a@1", "b@1", "c@1"])
     group.run(5)
     group.leader.propose(b"first", group.now)
@@ -80,8 +80,8 @@
     return group
 
 
-def test_a_spare_waits_as_a_learner_while_all_voters_answer():
-    group = _started()
+def test_a_spare_replica_stays_a_learner_while_all_voters_answer():
+    group = _started_group()
     group.add("d@1", contacts=["a", "b", "c"])
     group.run(10)
     assert group.voters() == {"a@1", "b@1", "c@1"}
@@ -89,15 +89,15 @@
     assert group.committed["d@1"] == [b"first"]
 
 
-def test_a_spare_takes_the_place_of_a_voter_that_is_gone():
-    group = _started()
-    gone = next(name for name in group.replicas if name != group.leader.me)
-    group.down.add(gone)
+def test_a_spare_replica_replaces_a_stopped_voter():
+    group = _started_group()
+    stopped = next(name for name in group.replicas if name != group.leader.me)
+    group.down.add(stopped)
     group.add("d@1", contacts=["a", "b", "c"])
     group.run(20)
-    assert "d@1" in group.voters() and gone not in group.voters()
+    assert "d@1" in group.voters() and stopped not in group.voters()
     assert len(group.voters()) == 3
-    # A second loss right after: what was accepted is still there, and more is.
+    # After a second failure, committed entries are kept and new ones can be committed.
     second = next(name for name in group.voters() if name not in (group.leader.me, "d@1"))
     group.down.add(second)
     group.run(5)
@@ -106,41 +106,41 @@
     assert group.committed["d@1"] == [b"first", b"second"]
 
 
-def test_a_voter_that_comes_back_in_time_stays():
-    group = _started()
-    away = next(name for name in group.replicas if name != group.leader.me)
-    group.down.add(away)
+def test_a_voter_that_returns_within_the_silence_limit_stays_a_voter():
+    group = _started_group()
+    stopped = next(name for name in group.replicas if name != group.leader.me)
+    group.down.add(stopped)
     group.run(REPLACE_AFTER * 0.8)
-    group.down.discard(away)
+    group.down.discard(stopped)
     group.add("d@1", contacts=["a", "b", "c"])
     group.run(10)
-    assert away in group.voters()
+    assert stopped in group.voters()
 
 
-def test_a_replaced_voter_that_comes_back_becomes_the_spare():
-    group = _started()
-    gone = next(name for name in group.replicas if name != group.leader.me)
-    group.down.add(gone)
+def test_a_replaced_voter_that_returns_becomes_a_learner():
+    group = _started_group()
+    stopped = next(name for name in group.replicas if name != group.leader.me)
+    group.down.add(stopped)
     group.add("d@1", contacts=["a", "b", "c"])
     group.run(20)
-    group.down.discard(gone)
+    group.down.discard(stopped)
     group.run(30)
-    assert gone not in group.voters()
-    assert list(group.leader.membership.learners) == [gone]
-    assert group.committed[gone] == [b"first"]
+    assert stopped not in group.voters()
+    assert list(group.leader.membership.learners) == [stopped]
+    assert group.committed[stopped] == [b"first"]
 
 
-def test_a_joiner_that_knows_a_follower_only_is_taken_in():
-    group = _started()
+def test_a_joiner_whose_only_contact_is_a_follower_is_admitted():
+    group = _started_group()
     follower = next(name for name in group.replicas if name != group.leader.me)
     group.add("d@1", contacts=[follower.partition("@")[0]])
     group.run(10)
     assert list(group.leader.membership.learners) == ["d@1"]
 
 
-def test_without_a_spare_nobody_is_dropped():
-    group = _started()
-    gone = next(name for name in group.replicas if name != group.leader.me)
-    group.down.add(gone)
+def test_a_stopped_voter_is_not_removed_without_a_spare_replica():
+    group = _started_group()
+    stopped = next(name for name in group.replicas if name != group.leader.me)
+    group.down.add(stopped)
     group.run(60)
     assert len(group.voters()) == 3
--- a/packages/lanedock/lanedock/consensus/tests/test_replica.py
+++ b/packages/lanedock/lanedock/consensus/tests/test_replica.py
@@ -24,7 +24,7 @@
 
 
 def _lead_and_crash_all(cluster: Cluster):
-    """Have an entry applied, and crash all; returns who led."""
+    """Apply an entry, crash all replicas, and return the former leader."""
     leader = _elect(cluster)
     cluster.propose(leader, b"x")
     cluster.run(1)
@@ -34,7 +34,7 @@
 
 
 @pytest.mark.parametrize("names", [("a",), NAMES, ("a", "b", "c", "d", "e")])
-def test_a_proposal_is_applied_everywhere(names):
+def test_a_proposal_is_applied_on_all_replicas(names):
     cluster = Cluster(names, seed=1)
     leader = _elect(cluster)
     cluster.propose(leader, b"x")
@@ -42,32 +42,32 @@
     assert all(_payloads(node) == [b"x"] for node in cluster.nodes.values())
 
 
-def test_a_leader_cut_off_in_silence_stops_before_another_begins():
+def test_the_lease_of_an_isolated_leader_expires_before_another_leader_is_elected():
     cluster = Cluster(NAMES, seed=2)
     old = _elect(cluster)
     cluster.isolate(old.id[0])
-    seen_none = False
+    saw_no_leader = False
     while True:
         cluster.run(0.05)
         leaders = cluster.leaders()
         assert len(leaders) <= 1
-        seen_none = seen_none or not leaders
+        saw_no_leader = saw_no_leader or not leaders
         if leaders and leaders[0] is not old:
             break
-    assert seen_none
+    assert saw_no_leader
     assert cluster.propose(old, b"lost") is None
 
 
-def test_silence_counts_from_the_last_sign_of_a_leader():
+def test_silence_counts_from_the_last_message_or_lease_of_a_leader():
     cluster = Cluster(NAMES, seed=2)
     assert all(node.replica.silence(cluster.now) == NEVER_LED for node in cluster.nodes.values())
     old = _elect(cluster)
-    # Long after its election a leader that is cut off counts from the end of its lease.
+    # An isolated leader counts from the end of its lease, not from its election.
     cluster.run(60)
     cluster.isolate(old.id[0])
     cluster.run(1)
     assert old.replica.silence(cluster.now) < 1.0
-    # Votes and candidacies of those that can't elect anybody are no sign of a leader.
+    # Votes and candidacies of replicas without a quorum are no evidence of a leader.
     follower = next(node for node in cluster.nodes.values() if node is not old)
     cluster.run(5)
     assert follower.replica.silence(cluster.now) < 1.0
@@ -77,18 +77,19 @@
     assert all(29.0 < node.replica.silence(cluster.now) < 40.0 for node in cluster.nodes.values())
 
 
-def test_the_former_leader_leads_again_at_once_when_all_were_killed():
+def test_the_former_leader_is_reelected_without_delay_after_all_replicas_crash():
     cluster = Cluster(NAMES, seed=2)
     old = _lead_and_crash_all(cluster)
     for node in cluster.nodes.values():
         node.start()
-    # Long before the least time after which a follower would support another leader.
+    # 0.2 s is well below the time for which a follower supports no other leader.
     cluster.run(0.2)
     assert [node.id for node in cluster.leaders()] == [old.id]
 
 
-def test_the_former_leader_leads_again_though_the_others_start_after_it():
-    # Found in an incident: its 0.3 s were over before the others could be reached.
+def test_the_former_leader_is_reelected_soon_when_the_others_restart_later():
+    # Guards against a former leader that stops retrying before the others are reachable, as
+    # with a retry period of 0.3 s.
     cluster = Cluster(NAMES, seed=2)
     old = _lead_and_crash_all(cluster)
     old.start()
@@ -100,21 +101,22 @@
     assert [node.id for node in cluster.leaders()] == [old.id]
 
 
-def test_nobody_waits_for_the_lease_of_a_leader_that_came_back_without_its_disk():
-    # Found on the platform: after a loss of power with the leader's disk the others waited 0.4 s.
+def test_followers_do_not_wait_for_the_lease_of_a_leader_that_returns_without_its_disk():
+    # After a power failure in which the leader loses its disk, the others must not wait for the
+    # rest of its lease, which took 0.4 s.
     cluster = Cluster(NAMES, seed=2)
     old = _lead_and_crash_all(cluster)
     for node in cluster.nodes.values():
         if node is not old:
             node.start()
     cluster.lose_disk(old.id[0], "2")
-    # Less than the least time after which a follower would support another leader.
+    # Half of the time for which a follower would support no other leader.
     cluster.run(0.5 * cluster.timing.election_min)
     (new,) = cluster.leaders()
     assert new.id != old.id
 
 
-def test_a_late_message_of_an_earlier_incarnation_does_not_end_a_lease():
+def test_a_delayed_message_of_an_earlier_incarnation_does_not_end_a_lease():
     cluster = Cluster(NAMES, seed=2)
     old = _elect(cluster)
     cluster.propose(old, b"x")
@@ -125,22 +127,22 @@
     for node in others:
         node.crash()
         node.start()
-        late = messages.PeerMessage(sender=f"{name}@0", receiver=node.id)
-        late.join_request.joiner = f"{name}@0"
-        node.replica.step(late, cluster.now)
-        node.pump()
-        # The answer to a challenge that it was never sent.
+        delayed = messages.PeerMessage(sender=f"{name}@0", receiver=node.id)
+        delayed.join_request.joiner = f"{name}@0"
+        node.replica.step(delayed, cluster.now)
+        node.process_ready()
+        # A reply to a challenge that was never sent to this incarnation.
         answer = messages.PeerMessage(sender=f"{name}@0", receiver=node.id, term=node.replica.term)
         answer.read_index_reply.token = 7
         node.replica.step(answer, cluster.now)
-        node.pump()
+        node.process_ready()
     while cluster.now < 6.0 + 0.8 * cluster.timing.election_min:
         cluster.run(0.05)
         assert cluster.leaders() in ([old], [])
     assert cluster.leaders() != []
 
 
-def test_a_follower_that_was_killed_supports_nobody_but_the_leader_it_followed():
+def test_a_restarted_follower_votes_for_no_other_candidate_during_its_leaders_lease():
     cluster = Cluster(NAMES, seed=2)
     old = _elect(cluster)
     cluster.propose(old, b"x")
@@ -150,14 +152,14 @@
     others[0].crash()
     others[0].start()
     cluster.run(0.2)
-    # The leader that is cut off may still act by its lease.
+    # The lease of the isolated leader may not have expired.
     others[1].replica._start_election(cluster.now, trial=True)
-    others[1].pump()
+    others[1].process_ready()
     cluster.run(0.1)
     assert [node.id for node in cluster.leaders()] in ([old.id], [])
 
 
-def test_what_a_cut_off_leader_took_last_gives_way():
+def test_an_uncommitted_entry_of_an_isolated_leader_is_replaced():
     cluster = Cluster(NAMES, seed=3)
     old = _elect(cluster)
     cluster.isolate(old.id[0])
@@ -170,11 +172,11 @@
     assert all(_payloads(node) == [b"kept"] for node in cluster.nodes.values())
 
 
-def test_a_replica_behind_a_snapshot_catches_up():
+def test_a_replica_that_lags_behind_the_snapshot_catches_up():
     cluster = Cluster(NAMES, seed=4)
     leader = _elect(cluster)
-    away = next(node for node in cluster.nodes.values() if node is not leader)
-    cluster.isolate(away.id[0])
+    isolated = next(node for node in cluster.nodes.values() if node is not leader)
+    cluster.isolate(isolated.id[0])
     for number in range(300):
         cluster.propose(leader, b"%d" % number)
         cluster.run(0.05)
@@ -182,41 +184,41 @@
     assert not leader.replica.log.entries
     cluster.heal()
     cluster.run(5)
-    assert _payloads(away) == [b"%d" % number for number in range(300)]
+    assert _payloads(isolated) == [b"%d" % number for number in range(300)]
 
 
-def test_a_lost_disk_comes_back_as_a_learner_and_then_votes():
+def test_a_replica_without_its_disk_returns_as_a_learner_and_becomes_a_voter():
     cluster = Cluster(NAMES, seed=5)
     leader = _elect(cluster)
     cluster.propose(leader, b"x")
     cluster.run(1)
-    lost = next(node.id[0] for node in cluster.nodes.values() if node is not leader)
-    cluster.lose_disk(lost, "2")
-    assert not cluster.nodes[lost].replica.can_vote()
+    lost_name = next(node.id[0] for node in cluster.nodes.values() if node is not leader)
+    cluster.lose_disk(lost_name, "2")
+    assert not cluster.nodes[lost_name].replica.can_vote()
     cluster.run(8)
-    assert cluster.nodes[lost].replica.can_vote()
-    assert f"{lost}@1" not in leader.replica.membership.voters
-    # Right after the repair, a second one is lost, with its disk.
-    second = next(name for name in NAMES if name not in (lost, leader.id[0]))
-    cluster.lose_disk(second, "3")
+    assert cluster.nodes[lost_name].replica.can_vote()
+    assert f"{lost_name}@1" not in leader.replica.membership.voters
+    # Right after that replica votes again, a second one loses its disk.
+    second_name = next(name for name in NAMES if name not in (lost_name, leader.id[0]))
+    cluster.lose_disk(second_name, "3")
     cluster.run(10)
     assert all(_payloads(node) == [b"x"] for node in cluster.nodes.values())
-    assert cluster.nodes[second].replica.can_vote()
+    assert cluster.nodes[second_name].replica.can_vote()
 
 
-def test_reads_are_confirmed_by_a_quorum_only():
+def test_a_read_is_answered_only_after_a_quorum_confirms_it():
     cluster = Cluster(NAMES, seed=6)
     leader = _elect(cluster)
     follower = next(node for node in cluster.nodes.values() if node is not leader)
     index = cluster.propose(leader, b"x")
     cluster.run(0.2)
     follower.replica.request_read(7, cluster.now)
-    follower.pump()
+    follower.process_ready()
     cluster.run(0.2)
     assert [(token, at >= index) for _, token, at in cluster.reads] == [(7, True)]
     cluster.isolate(leader.id[0])
     leader.replica.request_read(8, cluster.now)
-    leader.pump()
+    leader.process_ready()
     cluster.run(5)
     assert all(token != 8 for _, token, _ in cluster.reads)
 
@@ -282,7 +284,7 @@
 
     @rule(name=st.sampled_from(NAMES))
     def lose_a_disk(self, name):
-        # One at a time, and only once the repair before has settled.
+        # One disk at a time, and only after the replacement of an earlier one is complete.
         voters = {replica for node in self._alive() for replica in node.replica.membership.voters}
         settled = all(node.replica.can_vote() for node in self._alive())
         if len(self._alive()) == 3 and len(voters) == 3 and settled:
--- a/packages/lanedock/lanedock/consensus/tests/test_storage.py
+++ b/packages/lanedock/lanedock/consensus/tests/test_storage.py
@@ -1,5 +1,5 @@
 # SPDX-License-Identifier: BSD-3-Clause
-"""Tests of the log on disk: torn tails, bad bits, failing disks."""
+"""Tests of the log on disk: torn tails, corruption and disk failures."""
 
 import os
 
@@ -32,7 +32,7 @@
     return storage, storage.restore()
 
 
-def test_what_was_saved_is_restored(folder):
+def test_saved_hard_state_and_entries_are_restored(folder):
     storage, restored = _restore(folder)
     assert storage.read_identity() == "a@1"
     assert (restored.hard_state.term, restored.hard_state.voted_for) == (3, "a@1")
@@ -40,14 +40,14 @@
     assert restored.log.membership() == MEMBERSHIP
 
 
-def test_a_later_entry_replaces_an_earlier_one_and_all_behind(folder):
+def test_an_entry_with_a_stored_index_replaces_that_entry_and_all_later_ones(folder):
     storage, _ = _restore(folder)
     storage.save(None, [messages.LogEntry(term=4, index=2)])
     _, restored = _restore(folder)
     assert [(entry.index, entry.term) for entry in restored.log.entries] == [(1, 1), (2, 4)]
 
 
-def test_a_torn_tail_is_cut_off(folder):
+def test_a_torn_tail_is_truncated(folder):
     with open(folder / "log", "ab") as file:
         file.write(b"\0\0\0\x20\1\2")
     storage, restored = _restore(folder)
@@ -57,37 +57,37 @@
 
 
 @pytest.mark.parametrize("position", [10, 60, -3])
-def test_a_bit_gone_bad_in_what_was_synced_is_never_served(folder, position):
+def test_a_flipped_bit_in_synced_data_raises_log_corrupt(folder, position):
     data = bytearray((folder / "log").read_bytes())
     data[position] ^= 1
     (folder / "log").write_bytes(data)
-    with pytest.raises(StorageError) as caught:
+    with pytest.raises(StorageError) as raised:
         _restore(folder)
-    assert caught.value.code is ErrorCode.LOG_CORRUPT
+    assert raised.value.code is ErrorCode.LOG_CORRUPT
 
 
-def test_a_lost_end_of_what_was_synced_is_found(folder):
+def test_a_log_shorter_than_the_synced_length_raises_an_error(folder):
     data = (folder / "log").read_bytes()
     (folder / "log").write_bytes(data[:-30])
     with pytest.raises(StorageError):
         _restore(folder)
 
 
-def test_after_a_failed_sync_nothing_is_written_any_more(folder):
-    failing = []
+def test_writes_are_refused_after_a_failed_sync(folder):
+    sync_failures = []
 
     def sync(descriptor):
-        if failing:
+        if sync_failures:
             raise OSError(28, "No space left on device")
         os.fsync(descriptor)
 
     storage = FileStorage(str(folder), sync)
     storage.restore()
-    failing.append(True)
-    with pytest.raises(StorageError) as caught:
+    sync_failures.append(True)
+    with pytest.raises(StorageError) as raised:
         storage.save(None, _entries(5))
-    assert caught.value.code is ErrorCode.DISK_FAILED
-    failing.clear()
+    assert raised.value.code is ErrorCode.DISK_FAILED
+    sync_failures.clear()
     with pytest.raises(StorageError):
         storage.save(None, _entries(5))
 
--- a/packages/lanedock/lanedock/consensus/tests/test_walk.py
+++ b/packages/lanedock/lanedock/consensus/tests/test_walk.py
@@ -1,5 +1,5 @@
 # SPDX-License-Identifier: BSD-3-Clause
-"""Long random walks of the consensus core under faults, with fixed seeds."""
+"""Randomized fault-injection tests of the consensus core with fixed seeds."""
 
 from random import Random
 
@@ -12,7 +12,7 @@
 
 
 class Walk:
-    """One walk: random messages, faults and proposals, checked after each step."""
+    """A random sequence of deliveries, faults and proposals; invariants are checked after each step."""
 
     def __init__(self, seed: int):
         self.rng = Random(seed)
@@ -55,7 +55,7 @@
 
     def deliver(self) -> None:
         for _ in range(min(4, len(self.cluster.wire))):
-            # Mostly in order; now and then any message overtakes.
+            # Mostly in order; a fraction of 0.3 of the deliveries picks any message.
             late = self.rng.random() < 0.3
             self.cluster.deliver(self.rng.randrange(len(self.cluster.wire)) if late else 0)
 
@@ -82,10 +82,10 @@
     def read(self) -> None:
         for node in self.alive():
             self.counter += 1
-            # Whatever was applied anywhere before must be seen by this read.
+            # The read has to return at least the highest index applied on any replica so far.
             self.reads[self.counter] = max(self.committed, default=0)
             node.replica.request_read(self.counter, self.cluster.now)
-            node.pump()
+            node.process_ready()
 
     def crash(self) -> None:
         self.rng.choice(list(self.cluster.nodes.values())).crash()
@@ -99,7 +99,7 @@
                 node.start()
 
     def restart_all(self) -> None:
-        """Kill all at once; a former leader may stand again before the others are back."""
+        """Crash all replicas and restart some, so a former leader may start an election before the others run."""
         nodes = list(self.cluster.nodes.values())
         for node in nodes:
             node.crash()
@@ -118,7 +118,7 @@
             node.compact()
 
     def lose_disk(self) -> None:
-        """Lose one disk, once the repair before it has settled everywhere."""
+        """Lose one disk, only after the replacement of an earlier one is complete on all replicas."""
         alive = self.alive()
         memberships = {tuple(node.replica.membership.voters) for node in alive}
         if len(alive) == 3 and len(memberships) == 1 and all(node.replica.can_vote() for node in alive):
@@ -137,7 +137,7 @@
             assert index >= self.reads[token]
 
     def settle(self) -> None:
-        """Once the network is whole, there is progress and nothing was lost."""
+        """Restore the network and check that a proposal commits and no committed entry is lost."""
         self.cluster.crash_next = ""
         self.restart()
         self.heal()
--- a/packages/lanedock/lanedock/kernel/tests/test_core.py
+++ b/packages/lanedock/lanedock/kernel/tests/test_core.py
@@ -1,5 +1,5 @@
 # SPDX-License-Identifier: BSD-3-Clause
-"""Tests of the kernel and of tasks."""
+"""Tests of the kernel and of task services."""
 
 import time
 
@@ -11,27 +11,27 @@
 
 
 class Recorder(Service):
-    """Notes when it is started, begins to stop, and stops."""
+    """Records its start, preparation for stopping, and stop."""
 
-    def __init__(self, name: str, notes: list, fails: bool = False):
+    def __init__(self, name: str, calls: list, fails: bool = False):
         self.name = name
-        self.notes = notes
+        self.calls = calls
         self.fails = fails
 
     def start(self, kernel: Kernel) -> None:
         if self.fails:
             raise OSError("taken")
-        self.notes.append(f"+{self.name}")
+        self.calls.append(f"+{self.name}")
 
     def begin_stop(self) -> None:
-        self.notes.append(f"~{self.name}")
+        self.calls.append(f"~{self.name}")
 
     def stop(self) -> None:
-        self.notes.append(f"-{self.name}")
+        self.calls.append(f"-{self.name}")
 
 
 class Adder(TaskService):
-    """Adds up what it is sent; a text is too much for it."""
+    """Sums the posted numbers; fails on a string."""
 
     name = "adder"
 
@@ -53,37 +53,37 @@
             gevent.sleep(0.002)
 
 
-def test_services_start_in_order_and_all_begin_to_stop_before_one_stops():
-    notes, kernel = [], Kernel()
+def test_services_start_in_order_and_all_prepare_to_stop_before_one_is_stopped():
+    calls, kernel = [], Kernel()
     for name in ("a", "b", "c"):
-        kernel.add(Recorder(name, notes))
+        kernel.add(Recorder(name, calls))
     kernel.start()
     assert kernel.find("b").name == "b"
     kernel.stop()
     kernel.stop()
-    assert notes == ["+a", "+b", "+c", "~c", "~b", "~a", "-c", "-b", "-a"]
+    assert calls == ["+a", "+b", "+c", "~c", "~b", "~a", "-c", "-b", "-a"]
 
 
-def test_what_has_started_is_stopped_when_another_fails():
-    notes, kernel = [], Kernel()
+def test_started_services_are_stopped_when_another_fails_to_start():
+    calls, kernel = [], Kernel()
     for name in ("a", "b", "c"):
-        kernel.add(Recorder(name, notes, fails=name == "c"))
+        kernel.add(Recorder(name, calls, fails=name == "c"))
     with pytest.raises(OSError, match="taken"):
         kernel.start()
-    assert notes == ["+a", "+b", "~b", "~a", "-b", "-a"]
+    assert calls == ["+a", "+b", "~b", "~a", "-b", "-a"]
 
 
-def test_names_are_unique_and_must_be_there():
+def test_duplicate_and_unknown_service_names_raise_kernel_errors():
     kernel = Kernel()
     kernel.add(Recorder("a", []))
     with pytest.raises(KernelError):
         kernel.add(Recorder("a", []))
-    with pytest.raises(KernelError) as caught:
+    with pytest.raises(KernelError) as raised:
         kernel.find("b")
-    assert caught.value.code is ErrorCode.SERVICE_MISSING
+    assert raised.value.code is ErrorCode.SERVICE_MISSING
 
 
-def test_a_task_takes_messages_and_ticks_until_it_is_stopped():
+def test_a_task_handles_messages_and_ticks_until_it_is_stopped():
     kernel, task = Kernel(), Adder()
     kernel.add(task)
     kernel.start()
@@ -98,18 +98,19 @@
 
 
 class _SteppingLoop:
-    """An event loop whose time, as the time of day, steps back by an hour once it has been asked a few times."""
+    """An event loop with wall-clock time, which steps back by an hour after five calls."""
 
     def __init__(self):
-        self._asked = 0
+        self._calls = 0
 
     def now(self) -> float:
-        self._asked += 1
-        return time.time() - (3600 if self._asked > 5 else 0)
+        self._calls += 1
+        return time.time() - (3600 if self._calls > 5 else 0)
 
 
-def test_a_step_of_the_time_of_day_does_not_hold_up_ticks(monkeypatch):
-    # Found on the platform: a leader's heartbeats stopped, and another was elected.
+def test_a_backward_step_of_the_wall_clock_does_not_delay_ticks(monkeypatch):
+    # Otherwise a backward step of the wall clock stops a leader's heartbeats, and another leader
+    # is elected.
     kernel, task = Kernel(), Adder()
     hub = type("Hub", (), {"loop": _SteppingLoop()})
     monkeypatch.setattr(gevent, "get_hub", lambda: hub)
@@ -120,7 +121,7 @@
     kernel.stop()
 
 
-def test_a_task_that_fails_fails_its_kernel(monkeypatch):
+def test_an_exception_in_a_task_is_reported_to_the_kernel(monkeypatch):
     monkeypatch.setattr(gevent.get_hub(), "print_exception", lambda *arguments: None)
     kernel, task = Kernel(), Adder()
     kernel.add(task)
--- a/packages/lanedock/lanedock/kernel/tests/test_stop_plan.py
+++ b/packages/lanedock/lanedock/kernel/tests/test_stop_plan.py
@@ -1,11 +1,11 @@
 # SPDX-License-Identifier: BSD-3-Clause
-"""Tests of the one deadline of a process that stops."""
+"""Tests of the shared shutdown deadline of a process."""
 
 from lanedock.kernel import StopPlan
 from lanedock.kernel.stop_plan import ANSWER_TIME
 
 
-def test_before_a_stop_everything_is_allowed():
+def test_all_work_is_allowed_before_the_shutdown():
     plan = StopPlan(3.0, 5.0)
     assert not plan.is_begun
     assert plan.allows(1e9, 0.0)
@@ -13,7 +13,7 @@
     assert plan.linger_left(0.0) == 0.0
 
 
-def test_the_deadline_counts_from_the_first_beginning():
+def test_a_second_call_of_begin_keeps_the_deadline():
     plan = StopPlan(3.0, 5.0)
     plan.begin(100.0)
     plan.begin(104.0)
@@ -21,7 +21,7 @@
     assert plan.cut_at == 105.0 + ANSWER_TIME
 
 
-def test_what_can_end_by_the_deadline_is_allowed():
+def test_work_that_ends_by_the_deadline_is_allowed_during_the_linger_time():
     plan = StopPlan(3.0, 5.0)
     plan.begin(100.0)
     assert plan.allows(2.1, 102.9)
@@ -29,21 +29,21 @@
     assert plan.start_by(2.0) == 103.0
 
 
-def test_what_begins_after_the_linger_leaves_twice_its_time():
+def test_work_that_begins_after_the_linger_time_needs_twice_its_duration():
     plan = StopPlan(3.0, 5.0)
     plan.begin(100.0)
     assert plan.allows(1.0, 103.0)
     assert not plan.allows(1.0, 103.1)
 
 
-def test_callers_come_until_the_linger_is_over():
+def test_the_remaining_linger_time_falls_to_zero():
     plan = StopPlan(3.0, 5.0)
     plan.begin(100.0)
     assert plan.linger_left(101.0) == 2.0
     assert plan.linger_left(104.0) == 0.0
 
 
-def test_the_deadline_is_never_before_the_end_of_the_linger():
+def test_the_deadline_is_not_before_the_end_of_the_linger_time():
     plan = StopPlan(0.5, 0.2)
     plan.begin(100.0)
     assert plan.deadline == 100.5
