--- a/packages/lanedock/lanedock/telemetry/__init__.py
+++ b/packages/lanedock/lanedock/telemetry/__init__.py
@@ -1,5 +1,5 @@
 # SPDX-License-Identifier: BSD-3-Clause
-"""Numbered log events, metrics and traces."""
+"""Log events, request logs, metrics and traces."""
 
 from lanedock.telemetry.events import Event
 from lanedock.telemetry.log import EventLogger, configure_logging
--- a/packages/lanedock/lanedock/telemetry/events.py
+++ b/packages/lanedock/lanedock/telemetry/events.py
@@ -1,5 +1,5 @@
 # SPDX-License-Identifier: BSD-3-Clause
-"""Numbered log events. The catalogue in ``docs/events.md`` is generated from here."""
+"""Numbered log events, from which the reference page ``docs/events.md`` is generated."""
 
 import logging
 from enum import Enum
@@ -8,282 +8,305 @@
 
 
 class Event(Enum):
-    """An event: its number, level, meaning and what an operator may do.
+    """A log event with its number, level, meaning and remedy.
 
-    1xx concern a process, 2xx the replicated log, 3xx versions, 4xx the
-    fleet, 5xx requests.
+    Numbers 1xx concern a process, 2xx the replicated log, 3xx versions, 4xx
+    the fleet, 5xx requests.
     """
 
-    STARTED = (101, logging.INFO, "The process serves.", "None.")
-    STOPPING = (102, logging.INFO, "The process was asked to stop and lets requests end.", "None.")
+    STARTED = (101, logging.INFO, "The process has started and accepts requests.", "None.")
+    STOPPING = (102, logging.INFO, "The process was asked to stop; it finishes the requests in progress.", "None.")
     STOPPED = (103, logging.INFO, "The process has stopped.", "None.")
     NO_AUTHENTICATION = (
         105,
         logging.WARNING,
         "Peers are not authenticated.",
-        "Set `tls` wherever others can reach the addresses.",
+        "Set `tls` wherever untrusted hosts can reach the listening addresses.",
     )
-    UNEXPECTED = (106, logging.ERROR, "A task failed in a way nobody foresaw.", "Report it: this is a bug.")
+    UNEXPECTED = (106, logging.ERROR, "A task failed with an unexpected exception.", "Report it: this is a bug.")
     LOG_LIMITED = (
         110,
         logging.WARNING,
-        "Lines of an event were left out in the last second: too many came, or nobody reads the log.",
-        "Raise `log_lines_per_second` for a while if they are needed.",
+        "Log lines of an event were dropped in the last second: they were too many, or nothing reads the log.",
+        "Raise `log_lines_per_second` temporarily if the lines are needed.",
     )
-    RELOADED = (108, logging.INFO, "The settings were read again.", "None.")
+    RELOADED = (108, logging.INFO, "The settings were reloaded.", "None.")
     RELOAD_REFUSED = (
         109,
         logging.ERROR,
-        "The changed settings have findings; those in use stay.",
-        "Mend the findings named.",
+        "The changed settings have findings; the previous settings stay in use.",
+        "Correct the findings named.",
     )
     CUT_SHORT = (
         107,
         logging.WARNING,
-        "Requests were still in progress when the time to stop was over: they got a final answer, or were cut.",
-        "Raise `stop_timeout_ms`, or `stop_grace_s` with the platform's grace time.",
+        "Requests were still in progress at the stop time-out: they got a final answer, or were cut off.",
+        "Raise `stop_timeout_ms`, or `stop_grace_s` together with the platform's grace period.",
     )
 
-    LEADING = (201, logging.INFO, "This control instance leads.", "None.")
-    NOT_LEADING = (202, logging.INFO, "This control instance leads no more.", "Look for cuts if it recurs.")
-    TAIL_CUT = (203, logging.WARNING, "A torn tail was cut off the log.", "None: it was never answered for.")
+    LEADING = (201, logging.INFO, "This control instance has become the leader.", "None.")
+    NOT_LEADING = (
+        202,
+        logging.INFO,
+        "This control instance is no longer the leader.",
+        "If this recurs, look for network partitions.",
+    )
+    TAIL_CUT = (
+        203,
+        logging.WARNING,
+        "An incomplete record at the end of the log was removed.",
+        "None: the record was never acknowledged.",
+    )
     DISK_FAILED = (
         204,
         logging.CRITICAL,
-        "The disk failed; the replica takes no part any more.",
+        "The disk failed; the replica no longer participates in consensus.",
         "Replace the disk, then the control instance.",
     )
     LOG_CORRUPT = (
         205,
         logging.CRITICAL,
-        "The log can't be trusted; the replica takes no part.",
+        "The log is corrupt; the replica does not participate in consensus.",
         "Replace the control instance.",
     )
-    MEMBERSHIP = (206, logging.INFO, "The replicas that take part have changed.", "None.")
+    MEMBERSHIP = (206, logging.INFO, "The membership of the replica group has changed.", "None.")
     JOINING = (
         207,
         logging.WARNING,
-        "An empty data folder: the replica asks to join under a new incarnation.",
+        "The data folder is empty: the replica requests to join under a new incarnation.",
         "None.",
     )
     COMPACTED = (208, logging.INFO, "The log was compacted into a snapshot.", "None.")
 
     SUBMITTED = (301, logging.INFO, "A version is being staged.", "None.")
-    ACCEPTED = (302, logging.INFO, "A version is accepted for good.", "None.")
-    ABORTED = (303, logging.WARNING, "A version was aborted everywhere.", "See the findings in `lanedock history`.")
-    IN_FORCE = (304, logging.INFO, "The daemon uses a version.", "None.")
-    REFUSED = (305, logging.ERROR, "The daemon refuses a version.", "See the findings.")
+    ACCEPTED = (302, logging.INFO, "A version is accepted and committed.", "None.")
+    ABORTED = (303, logging.WARNING, "A version was aborted on all daemons.", "See the findings in `lanedock history`.")
+    IN_FORCE = (304, logging.INFO, "The daemon has put a version in force.", "None.")
+    REFUSED = (305, logging.ERROR, "The daemon has refused a version.", "Correct the findings.")
     FLOOR_CONFIRMED = (306, logging.INFO, "A quorum has confirmed the newest version.", "None.")
     SUSPENDED = (
         307,
         logging.WARNING,
-        "The daemon was paused and serves again once a quorum has confirmed the newest version.",
-        "Look for an overloaded or frozen instance.",
+        "The process was suspended; the daemon serves again once a quorum has confirmed the newest version.",
+        "Check whether the instance is overloaded or was frozen.",
     )
     SUBMISSION_REFUSED = (
         308,
         logging.INFO,
-        "A submission was refused as it was applied, or is known already.",
-        "Compare its number and base with the accepted version.",
+        "A submission was refused when its log entry was applied, or is a duplicate.",
+        "Compare its version number and base with the accepted version.",
     )
 
     CANARY_STARTED = (
         320,
         logging.INFO,
-        "A canary release has begun: which service, version and duration.",
+        "A canary release has started; the fields name the service, the version and the duration.",
         "Follow it with `lanedock canary status`.",
     )
     CANARY_REFUSED = (
         321,
         logging.INFO,
-        "An order for a canary release was refused as it was applied, or is known already.",
-        "Compare it with the one named.",
+        "An order for a canary release was refused when its log entry was applied, or is a duplicate.",
+        "Compare the order with the canary release named.",
     )
     CANARY_STEP = (
         322,
         logging.INFO,
-        "The share of a canary, or which of its upstreams get it, has changed: to what, and why.",
+        "The share of a canary, or the set of upstreams that get it, has changed; the fields give the values and why.",
         "None.",
     )
     CANARY_COMPLETED = (
         323,
         logging.INFO,
-        "A canary release is completed: the former versions get nothing any more.",
+        "A canary release is completed: the former versions get no more requests.",
         "None.",
     )
     CANARY_ROLLED_BACK = (
         324,
         logging.WARNING,
-        "A canary release is rolled back: its version gets nothing any more. `reason` names the route and its figures.",
-        "Look at the version; where the time was too short, start it again with a longer duration.",
+        "A canary release is rolled back: its version gets no more requests. `reason` names the route and its figures.",
+        "Check the version; if the duration was too short, start the release again with a longer one.",
     )
-    CANARY_FOLLOWED = (325, logging.INFO, "The daemon follows other rules for versions of services.", "None.")
+    CANARY_FOLLOWED = (325, logging.INFO, "The daemon applies new canary rules.", "None.")
 
-    SOURCE_FOUND = (401, logging.INFO, "The daemon takes versions from a source.", "None.")
+    SOURCE_FOUND = (401, logging.INFO, "The daemon has connected to a source of versions.", "None.")
     SOURCE_LOST = (
         402,
         logging.WARNING,
-        "The daemon lost its source and looks for another.",
-        "Check control if it lasts.",
+        "The daemon lost its source of versions and looks for another.",
+        "If this lasts, check the control instances.",
     )
     PLATFORM_UNREADABLE = (
         403,
         logging.WARNING,
-        "The platform's list can't be read; the last one stays in use.",
-        "Check it.",
+        "The platform's list of instances can't be read; the last list that was read stays in use.",
+        "Check the address or file of the list.",
     )
     PLATFORM_ENTRIES_REFUSED = (
         414,
         logging.WARNING,
-        "Entries of the platform's list can't be read and name no instance; the others are in use.",
-        "Find out who writes them: `first` names the place of the first.",
+        "Entries of the platform's list are malformed and are ignored; the other entries are in use.",
+        "Find out what writes them: `first` gives the position of the first one.",
     )
-    DRAINING = (404, logging.INFO, "An instance takes no new work any more.", "None.")
+    DRAINING = (404, logging.INFO, "An instance is draining and accepts no new requests.", "None.")
 
-    UPSTREAM_REGISTERED = (405, logging.INFO, "The application beside the daemon has registered.", "None.")
+    UPSTREAM_REGISTERED = (405, logging.INFO, "The local application has registered.", "None.")
     UPSTREAM_LEAVING = (
         406,
         logging.INFO,
-        "The application beside the daemon drains or leaves; nothing more is passed on to it.",
+        "The local application is draining or leaving; the daemon forwards no more requests to it.",
         "None.",
     )
     UPSTREAM_SILENT = (
         407,
         logging.WARNING,
-        "The application beside the daemon sends no heartbeats, or does so again.",
-        "Look at the application.",
+        "The local application has stopped sending heartbeats, or sends them again.",
+        "Check the application.",
     )
     UPSTREAM_ADOPTED = (
         408,
         logging.INFO,
-        "After a restart the daemon has learned from the mesh which application it speaks for.",
+        "After a restart, the daemon has learned the identity of the local application from the mesh.",
         "None.",
     )
     DISCOVERY_FAILED = (
         410,
         logging.INFO,
-        "The application beside the daemon did not say who it is; its heartbeat will.",
+        "The local application did not report its identity; its next heartbeat will.",
         "None.",
     )
     VERSION_BEHIND = (
         413,
         logging.WARNING,
-        "Other daemons send requests by a newer version, which has not come here yet.",
-        "With a source that is young and not stale, look at the link of this instance: versions wait on it.",
+        "Other daemons send requests under a newer version that this daemon has not received yet.",
+        "If the source's age and staleness are low, check the link of this instance: it delays versions.",
     )
     RIVAL_HEARD = (
         411,
         logging.INFO,
-        "Another incarnation of the application than the one that is held was heard of; the application is asked.",
+        "The mesh reports an incarnation of the local application other than the known one; the daemon asks the "
+        "application which it is.",
         "None.",
     )
     RIVAL_SETTLED = (
         412,
         logging.INFO,
-        "The application was asked which of two incarnations it is.",
-        "Empty in `answered` means that it didn't say; its next heartbeats decide.",
+        "The daemon has asked the local application which of two incarnations it is.",
+        "If `answered` is empty, the application did not say; its next heartbeats decide.",
     )
     RATE_LIMIT_CHANGED = (
         415,
         logging.INFO,
-        "The application beside the daemon advertises another rate limit in its answers, or none any more (`rate` is "
-        "none): requests a second that it takes from all callers together.",
-        "None: callers are led to its siblings.",
+        "The local application advertises a new rate limit in its answers, or no limit any more (`rate` is none). The "
+        "limit is in requests per second, for all callers together.",
+        "None: requests beyond the limit go to other upstreams of the service.",
     )
     RATE_LIMIT_UNREADABLE = (
         416,
         logging.WARNING,
-        "The application beside the daemon advertises a rate limit that is no number of 0 or more; the one before "
-        "stays.",
-        "Mend the application: `value` is what it sends, shortened.",
+        "The local application advertises a rate limit that is not a number of 0 or more; the previous limit stays in "
+        "use.",
+        "Correct the application: `value` is what it sends, truncated.",
     )
-    SEEDS_CHANGED = (409, logging.INFO, "The settings name other control instances.", "None.")
+    SEEDS_CHANGED = (409, logging.INFO, "The control instances named in the settings have changed.", "None.")
 
-    ANSWER_LOST = (501, logging.WARNING, "A request's outcome is unknown.", "Look at the upstream named.")
-    EJECTED = (502, logging.WARNING, "An upstream fails and gets no work for a while.", "Look at the upstream named.")
+    ANSWER_LOST = (501, logging.WARNING, "The outcome of a request is unknown.", "Check the upstream named.")
+    EJECTED = (
+        502,
+        logging.WARNING,
+        "An upstream fails and is temporarily ejected from load balancing.",
+        "Check the upstream named.",
+    )
 
     CONNECTIONS_SILENT = (
         504,
         logging.INFO,
-        "Nothing came back on the connections to an address, which may have fallen silent; idle ones were closed.",
-        "Look at the upstream named, and at what lies between.",
+        "The connections to an address received no data, so it may be unreachable; idle connections were closed.",
+        "Check the upstream named and the network path to it.",
     )
-    REACHED = (503, logging.INFO, "An upstream that could not be reached can be again.", "None.")
+    REACHED = (503, logging.INFO, "An unreachable upstream is reachable again.", "None.")
 
     REQUEST_ROUTED = (
         510,
         logging.INFO,
-        "A caller's request matched a route; or why it did not.",
-        "Compare `version` with the version accepted at the time.",
+        "A caller's request matched a route, or did not; the fields give the reason.",
+        "Compare `version` with the version that was accepted at that time.",
     )
     REQUEST_SENT = (
         511,
         logging.INFO,
-        "A request was sent to an upstream: which one, its incarnation, and what was known of it.",
+        "A request was sent to an upstream; the fields give its name, incarnation and known state.",
         "None.",
     )
     REQUEST_TRY_ENDED = (
         512,
         logging.INFO,
-        "A try ended without an answer that stands.",
-        "See `code` in the error codes; look at the upstream named.",
+        "A try ended without a final answer.",
+        "Look up `code` in the error codes; check the upstream named.",
     )
     REQUEST_SENT_AGAIN = (
         513,
         logging.INFO,
-        "Whether a request is sent once more, and what the retry budget was.",
+        "The daemon decided whether to retry a request; the fields give the decision and the retry budget.",
         "None.",
     )
     REQUEST_ANSWERED = (
         514,
         logging.INFO,
-        "The caller was answered, or has gone.",
-        "`outcome` says what is known: not-run, unknown, or answered by the upstream.",
+        "The caller was answered, or has closed the connection.",
+        "See `outcome`: not-run, unknown, or answered by the upstream.",
     )
     REQUEST_ADMITTED = (
         520,
         logging.INFO,
-        "An upstream's daemon passed a request on: the slots in use and the wait before.",
+        "An upstream's daemon forwarded a request; the fields give the slots in use and the time spent in the queue.",
         "None.",
     )
     REQUEST_REFUSED = (
         521,
         logging.INFO,
-        "An upstream's daemon refused a request unseen: by which limit (slots, or its link), and the load against it.",
-        "Add upstreams where it is the load; where it is the link, a wider one helps, too.",
+        "An upstream's daemon refused a request before forwarding it; the fields give the limit (slots, or link rate) "
+        "and the load.",
+        "If the slots are exhausted, add upstreams; if the link is, add upstreams or a faster link.",
     )
     UPSTREAM_CRASHED = (
         540,
         logging.WARNING,
-        "The application beside the daemon has ended without notice: the requests that ran on it, by digest, but for "
-        "those that it had lately served.",
-        "Look at the application; where the same digest comes again, at that request.",
+        "The local application has crashed; the fields give the digests of the requests in progress, except those that "
+        "it had served recently.",
+        "Check the application; if the same digest recurs, check that request.",
     )
     REQUEST_QUARANTINED = (
         541,
         logging.ERROR,
-        "Several applications have ended while they ran this request; it is not passed on any more.",
-        "See `crashes` for them; REQUEST_REFUSED with this digest and code LD3014 names the target.",
+        "Several applications have crashed while they ran this request; it is no longer forwarded.",
+        "See the crashes in `crashes`; REQUEST_REFUSED with this digest and code LD3014 names the target.",
     )
     SUSPECT_CLEARED = (
         542,
         logging.INFO,
-        "A request that ran beside an application's end was served, so it was not the cause.",
+        "A request that was in progress when an application crashed has been served since, so it was not the cause.",
         "None.",
     )
     REQUEST_TOTALS = (
         530,
         logging.INFO,
-        "All requests of a route in the last second, by outcome: their number, and the sums of their times.",
-        "`lanedock summary` adds them up.",
+        "All requests of a route in the last second, by outcome: their number and the sums of their durations.",
+        "Use `lanedock summary` to add up these lines.",
     )
     CONTROL_TRAFFIC = (
         531,
         logging.INFO,
-        "Bytes that a control instance has sent since its start: what they carry, near or far (to another zone).",
-        "Look at the largest.",
+        "Bytes that a control instance has sent since it started, by purpose and by reach: near, or far (to another "
+        "zone).",
+        "Check the largest figures.",
+    )
+    REQUEST_DONE = (
+        522,
+        logging.INFO,
+        "The application answered or refused the request, or its answer was lost.",
+        "None.",
     )
-    REQUEST_DONE = (522, logging.INFO, "The application answered, refused, or its answer was lost.", "None.")
 
     def __init__(self, number: int, level: int, meaning: str, remedy: str):
         self.number = number
--- a/packages/lanedock/lanedock/telemetry/log.py
+++ b/packages/lanedock/lanedock/telemetry/log.py
@@ -1,5 +1,5 @@
 # SPDX-License-Identifier: BSD-3-Clause
-"""Writing of events as JSON lines: bounded in volume, and never waiting for a reader."""
+"""Rate-limited, non-blocking logging of events as JSON lines."""
 
 import logging
 import os
@@ -13,25 +13,25 @@
 
 __all__ = ["EventLogger", "LineWriter", "configure_logging"]
 
-# Lines of one event in a second; what is a failure may be four times as many.
+# Maximum lines per second of one event. Failures may have four times as many.
 DEFAULT_LINES_PER_SECOND = 50
 FAILURE_FACTOR = 4
-# Lines that wait for a reader. Beyond it the oldest are left out.
-MAX_WAITING = 2000
-# A pipe that is ready takes this much without waiting (POSIX, PIPE_BUF).
-ATOMIC_BYTES = 4096
+# Maximum number of buffered lines; beyond it the oldest are dropped.
+MAX_PENDING_LINES = 2000
+# Maximum size of a write that does not block on a writable pipe, in bytes (POSIX, PIPE_BUF).
+MAX_ATOMIC_WRITE_BYTES = 4096
 
 
 class EventLogger:
-    """Writes numbered events with named particulars.
+    """Logs numbered events with named fields.
 
     Parameters
     ----------
     name : str
-        Of the logger; the process's own name is a good one.
+        Name of the logger, usually the name of the process.
     lines_per_second : int
-        Lines of one event in a second; more are counted and left out. Failures
-        (level warning and above) may be four times as many.
+        Maximum lines per second of one event; further lines are counted and dropped. Failures
+        (level warning and above) may have four times as many.
     """
 
     def __init__(self, name: str, lines_per_second: int = DEFAULT_LINES_PER_SECOND):
@@ -43,49 +43,51 @@
     def __repr__(self) -> str:
         return f"<EventLogger {self._logger.name}>"
 
-    def emit(self, event: Event, **particulars: object) -> None:
+    def emit(self, event: Event, **fields: object) -> None:
         """Log an event."""
-        if not self._logger.isEnabledFor(event.level) or not self._has_room(event, event.level):
+        if not self._logger.isEnabledFor(event.level) or not self._admit_line(event, event.level):
             return
-        self._write(event, particulars)
+        self._write(event, fields)
 
-    def emit_decision(self, event: Event, decided_at: float, failed: bool, particulars: dict) -> None:
-        """Log what was decided earlier on.
+    def emit_decision(self, event: Event, decided_at: float, failed: bool, fields: dict) -> None:
+        """Log a decision that was made earlier.
 
         Parameters
         ----------
         event : Event
         decided_at : float
-            Seconds since the epoch; the line has this time.
+            Time of the decision, in seconds since the epoch, which becomes the time of the line.
         failed : bool
-            Whether it belongs to a failure, and stands under the failures' bound.
-        particulars : dict
+            Whether the request failed; the line then has the higher limit of failures.
+        fields : dict
+            Fields of the line.
         """
-        bound = logging.WARNING if failed else event.level
-        if self._logger.isEnabledFor(event.level) and self._has_room(event, bound):
-            self._write(event, particulars, decided_at)
-
-    def _write(self, event: Event, particulars: dict, decided_at: float | None = None) -> None:
-        fields = {"message": event.name, "event": f"E{event.number}", "process": self._logger.name}
-        for key, value in particulars.items():
-            fields[key] = value if isinstance(value, (int, float, str, bool)) or value is None else str(value)
-        # The formatter puts a message that is a dict into the line, field by field.
-        record = self._logger.makeRecord(self._logger.name, event.level, "", 0, fields, (), None)
+        limiting_level = logging.WARNING if failed else event.level
+        if self._logger.isEnabledFor(event.level) and self._admit_line(event, limiting_level):
+            self._write(event, fields, decided_at)
+
+    def _write(self, event: Event, fields: dict, decided_at: float | None = None) -> None:
+        line = {"message": event.name, "event": f"E{event.number}", "process": self._logger.name}
+        for key, value in fields.items():
+            line[key] = value if isinstance(value, (int, float, str, bool)) or value is None else str(value)
+        # The formatter adds each item of a message that is a dict to the line as a field.
+        record = self._logger.makeRecord(self._logger.name, event.level, "", 0, line, (), None)
         if decided_at is not None:
             record.created = decided_at
         self._logger.handle(record)
 
-    def _has_room(self, event: Event, level: int) -> bool:
+    def _admit_line(self, event: Event, level: int) -> bool:
+        """Count a line of an event and tell whether it is within the limit of the current second."""
         second = int(monotonic())
         if second != self._second:
             self._second = second
             counts, self._counts = self._counts, {}
-            self._report_limited(counts)
+            self._report_dropped_lines(counts)
         count = self._counts.get(event, 0) + 1
         self._counts[event] = count
         return count <= self._limit * (FAILURE_FACTOR if level >= logging.WARNING else 1)
 
-    def _report_limited(self, counts: dict[Event, int]) -> None:
+    def _report_dropped_lines(self, counts: dict[Event, int]) -> None:
         for event, count in counts.items():
             limit = self._limit * (FAILURE_FACTOR if event.level >= logging.WARNING else 1)
             if count > limit and self._logger.isEnabledFor(Event.LOG_LIMITED.level):
@@ -93,13 +95,15 @@
 
 
 class LineWriter(logging.Handler):
-    """Writes lines to a descriptor as far as it takes them without waiting.
+    """Logging handler that writes lines to a file descriptor without blocking.
 
-    What it does not take waits, up to a bound, for the next line or `flush`.
+    Lines that can't be written at once are buffered, up to `MAX_PENDING_LINES` lines, until
+    the next line or call of `flush`.
 
     Parameters
     ----------
     descriptor : int
+        File descriptor, such as that of a pipe.
     """
 
     def __init__(self, descriptor: int):
@@ -107,8 +111,8 @@
         self._descriptor = descriptor
         self._poll = select.poll()
         self._poll.register(descriptor, select.POLLOUT)
-        self._waiting: deque[bytes] = deque()
-        self._left_out = 0
+        self._pending: deque[bytes] = deque()
+        self._dropped = 0
 
     def emit(self, record: logging.LogRecord) -> None:
         try:
@@ -116,59 +120,61 @@
         except Exception:
             self.handleError(record)
             return
-        if len(self._waiting) >= MAX_WAITING:
-            self._waiting.popleft()
-            self._left_out += 1
-        # A line that a pipe would not take at once is cut, so that none waits.
-        self._waiting.append(line if len(line) <= ATOMIC_BYTES else line[: ATOMIC_BYTES - 2] + b"\n")
-        # Lines on requests come in numbers and may wait for one another.
+        if len(self._pending) >= MAX_PENDING_LINES:
+            self._pending.popleft()
+            self._dropped += 1
+        # A line that is too long for a non-blocking write to a pipe is truncated.
+        self._pending.append(
+            line if len(line) <= MAX_ATOMIC_WRITE_BYTES else line[: MAX_ATOMIC_WRITE_BYTES - 2] + b"\n"
+        )
+        # Lines about requests are frequent, so they are buffered and written in batches.
         is_on_request = isinstance(record.msg, dict) and "request" in record.msg
-        if not is_on_request or record.levelno >= logging.WARNING or len(self._waiting) >= MAX_WAITING // 4:
+        if not is_on_request or record.levelno >= logging.WARNING or len(self._pending) >= MAX_PENDING_LINES // 4:
             self.flush()
 
     def flush(self) -> None:
-        """Write what the descriptor takes now."""
-        while self._waiting:
+        """Write buffered lines until the descriptor would block."""
+        while self._pending:
             if not any(mask & select.POLLOUT for _, mask in self._poll.poll(0)):
                 return
             batch, size = [], 0
-            while self._waiting and size + len(self._waiting[0]) <= ATOMIC_BYTES:
-                batch.append(self._waiting.popleft())
+            while self._pending and size + len(self._pending[0]) <= MAX_ATOMIC_WRITE_BYTES:
+                batch.append(self._pending.popleft())
                 size += len(batch[-1])
             try:
                 os.write(self._descriptor, b"".join(batch))
             except OSError:
-                # Nobody can read any more, and there is nowhere to say so.
-                self._left_out += len(batch)
+                # The reader has closed the pipe, so the failure can't be logged either.
+                self._dropped += len(batch)
                 return
 
     @property
     def left_out(self) -> int:
-        """Lines that nobody took, since the start."""
-        return self._left_out
+        """Number of lines dropped since the start."""
+        return self._dropped
 
 
 def configure_logging(level: str, descriptor: int | None = None) -> LineWriter:
-    """Log JSON lines to standard output.
+    """Configure the root logger to write JSON lines.
 
     Parameters
     ----------
     level : str
-        One of the names that `logging` knows.
+        Name of a level of `logging`, such as ``info``.
     descriptor : int, optional
-        Where to instead.
+        File descriptor to write to; standard output by default.
 
     Returns
     -------
     LineWriter
-        To be flushed at intervals.
+        The handler, which the caller has to flush at intervals.
     """
     writer = LineWriter(sys.stdout.fileno() if descriptor is None else descriptor)
     writer.setFormatter(_make_formatter())
     root = logging.getLogger()
     root.handlers[:] = [writer]
     root.setLevel(level.upper())
-    # hpack tells every header it decodes at DEBUG; grpclib each cancelled call.
+    # hpack logs every header that it decodes at DEBUG; grpclib logs each cancelled call.
     logging.getLogger("hpack").setLevel(logging.WARNING)
     logging.getLogger("grpclib").setLevel(logging.WARNING)
     return writer
@@ -178,7 +184,7 @@
     from pythonjsonlogger.json import JsonFormatter
 
     class LineFormatter(JsonFormatter):
-        """Formats lines of JSON with times in microseconds: several decisions fall into a millisecond."""
+        """Formats JSON lines with times in microseconds, because several decisions may fall into one millisecond."""
 
         def formatTime(self, record: logging.LogRecord, datefmt: str | None = None) -> str:
             return datetime.fromtimestamp(record.created).strftime("%Y-%m-%d %H:%M:%S,%f")
--- a/packages/lanedock/lanedock/telemetry/metrics.py
+++ b/packages/lanedock/lanedock/telemetry/metrics.py
@@ -1,5 +1,5 @@
 # SPDX-License-Identifier: BSD-3-Clause
-"""Metrics, gathered in memory: sent by statsd at intervals, or fetched as text."""
+"""Metrics, aggregated in memory and either pushed to statsd at intervals or scraped as text."""
 
 from abc import ABC, abstractmethod
 from bisect import bisect_left
@@ -7,60 +7,78 @@
 
 __all__ = ["Metric", "Metrics", "MetricsGroup", "NullMetrics", "StatsdMetrics", "TextMetrics"]
 
-# Longest list of timings kept between two flushes; later ones replace earlier.
+# Maximum number of durations kept for one timer between two flushes; further ones are dropped.
 MAX_TIMINGS = 512
-# Sets of labels kept for one metric; later ones count as `other`.
+# Maximum number of label sets kept for one metric; further ones are counted as `other`.
 MAX_LABELS = 200
-# Upper bounds of the histograms' buckets, in seconds: from a hop between two
-# daemons to the longest a caller waits, each about half as much again.
+# Upper bounds of the histogram buckets, in seconds: from a hop between two daemons to the
+# longest wait of a caller, each one about 1.5 to 2.5 times the previous one.
 BUCKETS = (0.001, 0.0025, 0.005, 0.01, 0.025, 0.05, 0.1, 0.15, 0.25, 0.4, 0.6, 1.0, 1.5, 2.5, 5.0, 10.0)
 
 
 class Metric(Enum):
-    """A metric: its name, kind (c counter, ms timer, g gauge), meaning and labels."""
+    """A metric with its name, kind (c counter, ms timer, g gauge), meaning and labels."""
 
-    REQUESTS = ("requests", "c", "Requests taken.")
-    OUTCOMES = ("requests.outcomes", "c", "Requests by how they ended.", ("route", "outcome"))
-    TRIES = ("requests.tries", "c", "Tries by how they ended.", ("service", "outcome"))
+    REQUESTS = ("requests", "c", "Requests received.")
+    OUTCOMES = ("requests.outcomes", "c", "Requests by outcome.", ("route", "outcome"))
+    TRIES = ("requests.tries", "c", "Tries by outcome.", ("service", "outcome"))
     REFUSALS = ("requests.refusals", "c", "Requests that an upstream's daemon refused, by code.", ("code",))
-    RETRY_BUDGET = ("requests.retry_budget", "g", "Retries that may still be made towards a service.", ("service",))
+    RETRY_BUDGET = ("requests.retry_budget", "g", "Retries left in the budget of a service.", ("service",))
     NOT_RUN = ("requests.not_run", "c", "Requests answered `not-run`.")
     UNKNOWN = ("requests.unknown", "c", "Requests answered `unknown`.")
     RETRIES = ("requests.retries", "c", "Tries after the first.")
-    LATENCY = ("requests.latency", "ms", "Time from request to answer's head.")
+    LATENCY = ("requests.latency", "ms", "Time from the request to the head of its answer.")
     IN_PROGRESS = ("requests.in_progress", "g", "Requests in progress.")
     QUEUED = ("requests.queued", "g", "Requests waiting for a slot.")
-    BODY_BYTES = ("requests.body_bytes", "g", "Bytes of bodies that were let in and have not come yet.")
+    BODY_BYTES = ("requests.body_bytes", "g", "Bytes of admitted request bodies that have not arrived yet.")
     VERSION = ("config.version", "g", "Number of the version in force.")
     CONTROL_BYTES = ("config.bytes", "c", "Bytes of versions and endpoints sent to daemons.")
     TRAFFIC = (
         "control.bytes",
         "c",
-        "Bytes sent by a control instance: what they carry, and near or far (to another zone).",
+        "Bytes sent by a control instance, by purpose and by reach: near, or far (to another zone).",
         ("purpose", "reach"),
     )
-    CHILDREN = ("config.children", "g", "Daemons that take versions from here.")
-    CONVERGENCE = ("config.convergence", "ms", "From acceptance to in force everywhere.")
-    DROPPED = ("config.dropped", "c", "Outdated version messages that changed nothing.")
-    TERM = ("log.term", "g", "The replicated log's term.")
+    CHILDREN = ("config.children", "g", "Daemons that receive versions from this process.")
+    CONVERGENCE = (
+        "config.convergence",
+        "ms",
+        "Time from the acceptance of a version until it is in force on every daemon.",
+    )
+    DROPPED = ("config.dropped", "c", "Outdated version messages that were ignored.")
+    TERM = ("log.term", "g", "Term of the replicated log.")
     COMMIT = ("log.commit", "g", "Index of the newest committed entry.")
     SYNC = ("log.sync", "ms", "Time to sync the log to disk.")
-    SOURCE_AGE = ("config.source_age", "g", "Seconds since the daemon's source was last heard.")
-    STALENESS = ("config.staleness", "g", "Seconds since the source has heard from the leader, as it says.")
-    BEHIND = ("config.behind", "g", "Seconds for which a version is known to be in force elsewhere and isn't here.")
-    ENDPOINTS = ("config.endpoints", "g", "Upstreams known, by zone.", ("zone",))
-    CRASHES = ("upstream.crashes", "c", "Times that the application beside the daemon has ended without notice.")
-    QUARANTINED = ("requests.quarantined", "g", "Requests that are not passed on since they end upstreams.")
+    SOURCE_AGE = ("config.source_age", "g", "Seconds since the last message from the daemon's source.")
+    STALENESS = ("config.staleness", "g", "Seconds since the source last heard from the leader, as the source reports.")
+    BEHIND = (
+        "config.behind",
+        "g",
+        "Seconds for which a version has been known to be in force elsewhere but not on this daemon.",
+    )
+    ENDPOINTS = ("config.endpoints", "g", "Known upstreams, by zone.", ("zone",))
+    CRASHES = ("upstream.crashes", "c", "Crashes of the local application.")
+    QUARANTINED = ("requests.quarantined", "g", "Requests that are not forwarded because they crash upstreams.")
     RATE_LIMIT = (
         "upstream.rate_limit",
         "g",
-        "Requests a second that the application advertises as its limit, if it does.",
+        "Rate limit that the local application advertises, in requests per second, if any.",
     )
-    IS_RATE_LIMITED = ("upstream.is_rate_limited", "g", "1 where the application advertises a rate limit, else 0.")
-    PASSED_ON = ("upstream.passed_on", "c", "Requests that were passed on to the application.")
+    IS_RATE_LIMITED = ("upstream.is_rate_limited", "g", "1 if the local application advertises a rate limit, else 0.")
+    PASSED_ON = ("upstream.passed_on", "c", "Requests that were forwarded to the local application.")
     CANARY_SHARE = ("canary.share", "g", "Share of a service's requests that its canary gets, 0 to 1.", ("service",))
-    CANARY_SENT = ("canary.sent", "c", "Requests sent while a canary runs, by part.", ("service", "part"))
-    CANARY_FAILED = ("canary.failed", "c", "Answers that failed while a canary runs, by part.", ("service", "part"))
+    CANARY_SENT = (
+        "canary.sent",
+        "c",
+        "Requests sent while a canary release runs, by part (canary or stable).",
+        ("service", "part"),
+    )
+    CANARY_FAILED = (
+        "canary.failed",
+        "c",
+        "Failed answers while a canary release runs, by part (canary or stable).",
+        ("service", "part"),
+    )
     EJECTED = ("config.ejected", "c", "Ejections of upstreams.")
 
     def __init__(self, path: str, kind: str, meaning: str, labels: tuple = ()):
@@ -71,9 +89,9 @@
 
 
 class Metrics(ABC):
-    """Where measurements go. Calls are cheap and never wait.
+    """Interface for recording measurements. The recording methods are cheap and never block.
 
-    `labels` are values for the metric's own labels, in their order.
+    `labels` are the values of the metric's labels, in the metric's order.
     """
 
     @abstractmethod
@@ -89,11 +107,11 @@
         """Set a gauge."""
 
     def flush(self) -> None:
-        """Send what was gathered."""
+        """Send the measurements recorded since the last call, if the backend sends any."""
 
 
 class NullMetrics(Metrics):
-    """Forgets everything."""
+    """Discards all measurements."""
 
     def count(self, metric: Metric, amount: int = 1, labels: tuple = ()) -> None:
         pass
@@ -106,15 +124,15 @@
 
 
 class StatsdMetrics(Metrics):
-    """Sends to a statsd server over UDP.
+    """Sends measurements to a statsd server over UDP.
 
     Parameters
     ----------
     host : str
-        IP number.
+        IP address.
     port : int
     prefix : str
-        In front of every name, such as ``lanedock.nbo-a.entry-1``.
+        Prefix of every name, such as ``lanedock.nbo-a.entry-1``.
     """
 
     def __init__(self, host: str, port: int, prefix: str):
@@ -126,16 +144,16 @@
         self._timings: dict[str, list[float]] = {}
 
     def count(self, metric: Metric, amount: int = 1, labels: tuple = ()) -> None:
-        key = _path(metric, labels)
+        key = _statsd_name(metric, labels)
         self._counters[key] = self._counters.get(key, 0) + amount
 
     def time(self, metric: Metric, seconds: float, labels: tuple = ()) -> None:
-        timings = self._timings.setdefault(_path(metric, labels), [])
+        timings = self._timings.setdefault(_statsd_name(metric, labels), [])
         if len(timings) < MAX_TIMINGS:
             timings.append(seconds)
 
     def gauge(self, metric: Metric, value: float, labels: tuple = ()) -> None:
-        self._gauges[_path(metric, labels)] = value
+        self._gauges[_statsd_name(metric, labels)] = value
 
     def flush(self) -> None:
         counters, self._counters = self._counters, {}
@@ -145,18 +163,18 @@
                 pipe.incr(path, amount)
             for path, value in self._gauges.items():
                 pipe.gauge(path, value)
-            for path, seconds in timings.items():
-                for one in seconds:
-                    pipe.timing(path, one * 1000)
+            for path, durations in timings.items():
+                for duration in durations:
+                    pipe.timing(path, duration * 1000)
 
 
-def _path(metric: Metric, labels: tuple) -> str:
-    """Return a metric's name for statsd, its labels' values behind it."""
+def _statsd_name(metric: Metric, labels: tuple) -> str:
+    """Return the statsd name of a metric, with the values of its labels appended."""
     return ".".join([metric.path, *(str(label).replace(".", "_") for label in labels)])
 
 
 class MetricsGroup(Metrics):
-    """Hands measurements to several places.
+    """Records measurements in several backends.
 
     Parameters
     ----------
@@ -184,7 +202,7 @@
 
 
 class _Histogram:
-    """Counts of durations by bucket."""
+    """Counts of durations by bucket, and their sum in seconds."""
 
     __slots__ = ("counts", "total")
 
@@ -193,16 +211,16 @@
         self.total = 0.0
 
     def add(self, seconds: float) -> None:
-        """Count one duration."""
+        """Add one duration, in seconds."""
         self.counts[bisect_left(BUCKETS, seconds)] += 1
         self.total += seconds
 
 
 class TextMetrics(Metrics):
-    """Keeps measurements for whoever fetches them in the Prometheus text format.
+    """Keeps measurements to be scraped in the Prometheus text format.
 
-    The format is written here: the client library would take the memory of a
-    whole daemon's control link, for a few lines of text.
+    The client library is not used: it would take as much memory as the control
+    link of a daemon, and the format needs only a few lines of code.
 
     References
     ----------
@@ -215,12 +233,12 @@
 
     def count(self, metric: Metric, amount: int = 1, labels: tuple = ()) -> None:
         values = self._values.setdefault(metric, {})
-        key = _bounded(values, metric, labels)
+        key = _limit_labels(values, metric, labels)
         values[key] = values.get(key, 0) + amount
 
     def time(self, metric: Metric, seconds: float, labels: tuple = ()) -> None:
         histograms = self._histograms.setdefault(metric, {})
-        key = _bounded(histograms, metric, labels)
+        key = _limit_labels(histograms, metric, labels)
         histogram = histograms.get(key)
         if histogram is None:
             histogram = histograms[key] = _Histogram()
@@ -228,51 +246,51 @@
 
     def gauge(self, metric: Metric, value: float, labels: tuple = ()) -> None:
         values = self._values.setdefault(metric, {})
-        values[_bounded(values, metric, labels)] = value
+        values[_limit_labels(values, metric, labels)] = value
 
     def render(self) -> str:
-        """Return all measurements as text."""
+        """Return all measurements in the text format."""
         lines = []
         for metric, values in self._values.items():
-            name = _metric_name(metric)
-            lines += _describe(metric, name, "counter" if metric.kind == "c" else "gauge")
-            lines += [f"{name}{_label_text(metric, key)} {value:g}" for key, value in values.items()]
+            name = _prometheus_name(metric)
+            lines += _render_header(metric, name, "counter" if metric.kind == "c" else "gauge")
+            lines += [f"{name}{_render_labels(metric, key)} {value:g}" for key, value in values.items()]
         for metric, histograms in self._histograms.items():
-            name = _metric_name(metric)
-            lines += _describe(metric, name, "histogram")
+            name = _prometheus_name(metric)
+            lines += _render_header(metric, name, "histogram")
             for key, histogram in histograms.items():
                 lines += _render_histogram(metric, name, key, histogram)
         return "\n".join(lines) + "\n"
 
 
-def _bounded(values: dict, metric: Metric, labels: tuple) -> tuple:
-    """Return the labels, or `other` in their place where there are too many already."""
+def _limit_labels(values: dict, metric: Metric, labels: tuple) -> tuple:
+    """Return the labels, or `other` for each of them if `MAX_LABELS` sets exist already."""
     if not labels or labels in values or len(values) < MAX_LABELS:
         return labels
     return ("other",) * len(metric.labels)
 
 
-def _metric_name(metric: Metric) -> str:
+def _prometheus_name(metric: Metric) -> str:
     suffix = {"c": "_total", "ms": "_seconds"}.get(metric.kind, "")
     return "lanedock_" + metric.path.replace(".", "_") + suffix
 
 
-def _describe(metric: Metric, name: str, kind: str) -> list[str]:
+def _render_header(metric: Metric, name: str, kind: str) -> list[str]:
     return [f"# HELP {name} {metric.meaning}", f"# TYPE {name} {kind}"]
 
 
-def _label_text(metric: Metric, values: tuple, *more: str) -> str:
+def _render_labels(metric: Metric, values: tuple, *extra_pairs: str) -> str:
     pairs = [f'{label}="{value}"' for label, value in zip(metric.labels, values, strict=False)]
-    pairs += more
+    pairs += extra_pairs
     return "{" + ",".join(pairs) + "}" if pairs else ""
 
 
 def _render_histogram(metric: Metric, name: str, key: tuple, histogram: _Histogram) -> list[str]:
-    lines, seen = [], 0
+    lines, cumulative = [], 0
     for bound, count in zip((*BUCKETS, "+Inf"), histogram.counts, strict=True):
-        seen += count
+        cumulative += count
         bucket = f'le="{bound}"'
-        lines.append(f"{name}_bucket{_label_text(metric, key, bucket)} {seen}")
-    lines.append(f"{name}_sum{_label_text(metric, key)} {histogram.total:g}")
-    lines.append(f"{name}_count{_label_text(metric, key)} {seen}")
+        lines.append(f"{name}_bucket{_render_labels(metric, key, bucket)} {cumulative}")
+    lines.append(f"{name}_sum{_render_labels(metric, key)} {histogram.total:g}")
+    lines.append(f"{name}_count{_render_labels(metric, key)} {cumulative}")
     return lines
--- a/packages/lanedock/lanedock/telemetry/requests.py
+++ b/packages/lanedock/lanedock/telemetry/requests.py
@@ -1,9 +1,9 @@
 # SPDX-License-Identifier: BSD-3-Clause
-"""The decisions on one request, kept until it is known whether they are worth a line.
+"""Logs of the decisions made for single requests.
 
-A request that is answered well costs a list; its lines are written for a share
-of them only, chosen by its id, so that every process chooses the same ones.
-One that fails has all its lines written.
+Decisions are kept in memory until the request ends. All decisions of failed
+requests are logged. Successful requests are sampled by a hash of their id, so
+that every process chooses the same ones.
 """
 
 import zlib
@@ -16,34 +16,35 @@
 
 __all__ = ["RequestLog", "RequestLogger"]
 
-# One request in so many is logged where all went well.
+# One in this many successful requests is logged.
 DEFAULT_SAMPLE = 128
-# Decisions kept of one request.
-MAX_STEPS = 32
+# Maximum number of decisions kept for one request.
+MAX_DECISIONS = 32
 
 
 class RequestLog:
-    """The decisions on one request.
+    """The decisions made for one request.
 
     Parameters
     ----------
     request_id : str
-        Empty where the caller gave none.
+        Id of the request; empty if the caller gave none.
     now : float
-        Monotonic, seconds.
+        Monotonic time of the request's arrival, in seconds.
 
     Attributes
     ----------
     route : str
-        That it matched; empty before.
-    age, target : float
-        Seconds since its caller's first try, and the time within which an answer
-        is wanted.
+        Name of the matched route; empty until a route is matched.
+    age : float
+        Time since the caller's first try, in seconds.
+    target : float
+        Desired response time, in seconds.
     waited : float
-        Seconds in an upstream's queue.
+        Time spent in an upstream's queue, in seconds.
     """
 
-    __slots__ = ("_started", "_steps", "age", "request_id", "route", "target", "waited")
+    __slots__ = ("_decisions", "_started", "age", "request_id", "route", "target", "waited")
 
     def __init__(self, request_id: str, now: float):
         self.request_id = request_id
@@ -52,35 +53,35 @@
         self.target = 0.0
         self.waited = 0.0
         self._started = now
-        self._steps: list[tuple[Event, float, float, dict]] = []
+        self._decisions: list[tuple[Event, float, float, dict]] = []
 
-    def note(self, event: Event, **particulars: object) -> None:
-        """Keep a decision with the inputs that decided it."""
-        if len(self._steps) < MAX_STEPS:
-            # By the clock that the processes of an instance share: a refusal is told before
-            # what its receiver made of it, though both may be decided within 0.1 ms.
-            self._steps.append((event, time(), monotonic() - self._started, particulars))
+    def note(self, event: Event, **fields: object) -> None:
+        """Record a decision and the values on which it was based."""
+        if len(self._decisions) < MAX_DECISIONS:
+            # The wall clock is common to all processes of an instance, so a refusal sorts before its
+            # receiver's reaction, although both decisions may be less than 0.1 ms apart.
+            self._decisions.append((event, time(), monotonic() - self._started, fields))
 
     def write(self, events: EventLogger, failed: bool) -> None:
-        """Write all decisions, each with the time at which it was made."""
-        for event, decided_at, after, particulars in self._steps:
-            fields = {"request": self.request_id, "after_ms": round(1000 * after, 1), **particulars}
-            events.emit_decision(event, decided_at, failed, fields)
+        """Log all decisions, each with the time at which it was made."""
+        for event, decided_at, elapsed, fields in self._decisions:
+            line = {"request": self.request_id, "after_ms": round(1000 * elapsed, 1), **fields}
+            events.emit_decision(event, decided_at, failed, line)
 
 
 class RequestLogger:
-    """Decides which requests' decisions are written.
+    """Selects the requests whose decisions are logged.
 
     Parameters
     ----------
     events : EventLogger
     sample : int
-        One in so many is written where all went well; 0 for none.
+        One in this many successful requests is logged; 0 for none.
 
     Attributes
     ----------
     totals : RequestTotals
-        Of all requests, whether their lines are written or not.
+        Totals of all requests, whether they are logged or not.
     """
 
     def __init__(self, events: EventLogger, sample: int = DEFAULT_SAMPLE):
@@ -89,16 +90,16 @@
         self.totals = RequestTotals()
 
     def begin(self, request_id: str, now: float) -> RequestLog:
-        """Begin a request's log."""
+        """Return a new log for a request."""
         return RequestLog(request_id, now)
 
     def end(self, log: RequestLog, failed: bool) -> None:
-        """Write a request's decisions, or let them go."""
+        """Log a request's decisions if it failed or is sampled."""
         if failed or self._is_sampled(log.request_id):
             log.write(self._events, failed)
 
     def emit_totals(self) -> None:
-        """Write the totals since the last call."""
+        """Log the totals since the last call."""
         self.totals.emit(self._events)
 
     def _is_sampled(self, request_id: str) -> bool:
--- a/packages/lanedock/lanedock/telemetry/tests/test_log.py
+++ b/packages/lanedock/lanedock/telemetry/tests/test_log.py
@@ -6,7 +6,7 @@
 import os
 
 from lanedock.telemetry import Event, EventLogger, Metric, RequestLogger, TextMetrics
-from lanedock.telemetry.log import MAX_WAITING, LineWriter, configure_logging
+from lanedock.telemetry.log import MAX_PENDING_LINES, LineWriter, configure_logging
 from lanedock.telemetry.metrics import MAX_LABELS
 
 
@@ -41,13 +41,13 @@
 def test_a_reader_that_does_not_read_holds_nobody_up():
     def fill(handler: LineWriter) -> None:
         events = EventLogger("p", 10**9)
-        for number in range(20 * MAX_WAITING):
+        for number in range(20 * MAX_PENDING_LINES):
             events.emit(Event.ANSWER_LOST, number=number, error="x" * 200)
         assert handler.left_out > 0
 
     lines = _with_pipe(fill)
     # Whole lines, the oldest and the newest, and not all of them.
-    assert 0 < len(lines) < 20 * MAX_WAITING
+    assert 0 < len(lines) < 20 * MAX_PENDING_LINES
 
 
 def test_a_flood_of_an_event_is_cut_and_says_so():
--- a/packages/lanedock/lanedock/telemetry/tracing.py
+++ b/packages/lanedock/lanedock/telemetry/tracing.py
@@ -1,8 +1,9 @@
 # SPDX-License-Identifier: BSD-3-Clause
-"""Traces: one span for each hop, tied together by W3C traceparent.
+"""Traces with one span for each hop, linked by the W3C ``traceparent`` header.
 
-A caller's sampled flag is obeyed; without one, a share of the requests is
-sampled. A request that isn't sampled costs the forwarding of one header.
+The sampled flag of a caller's header is respected. Of requests without the
+header, a share is sampled. For a request that is not sampled, the header is
+only forwarded.
 
 References
 ----------
@@ -16,7 +17,7 @@
 __all__ = ["NullTracer", "OtelTracer", "Span", "Tracer"]
 
 _TRACEPARENT = re.compile(r"^00-([0-9a-f]{32})-([0-9a-f]{16})-([0-9a-f]{2})$")
-_SAMPLED = 1
+_SAMPLED_FLAG = 1
 
 
 class Span(ABC):
@@ -25,15 +26,15 @@
     @property
     @abstractmethod
     def traceparent(self) -> str:
-        """The header to pass on; empty for none."""
+        """Value of the header to forward; empty for none."""
 
     @abstractmethod
     def end(self, **attributes: object) -> None:
-        """Note that the hop is over."""
+        """End the span and record its attributes."""
 
 
 class Tracer(ABC):
-    """Makes spans."""
+    """Starts spans."""
 
     @abstractmethod
     def start(self, name: str, traceparent: str) -> Span:
@@ -43,15 +44,15 @@
         ----------
         name : str
         traceparent : str
-            As received; empty for none.
+            Value of the received header; empty for none.
         """
 
     def close(self) -> None:
-        """Write out what is left."""
+        """Write out pending spans."""
 
 
-class _PassedSpan(Span):
-    """Passes the caller's context on and records nothing."""
+class _ForwardedSpan(Span):
+    """Span that forwards the caller's context and records nothing."""
 
     __slots__ = ("_traceparent",)
 
@@ -67,10 +68,10 @@
 
 
 class NullTracer(Tracer):
-    """Records nothing; contexts are passed on."""
+    """Tracer that forwards contexts and records nothing."""
 
     def start(self, name: str, traceparent: str) -> Span:
-        return _PassedSpan(traceparent)
+        return _ForwardedSpan(traceparent)
 
 
 class _OtelSpan(Span):
@@ -96,16 +97,17 @@
     Parameters
     ----------
     path : str
-        Of the file; lines are appended.
+        Path of the file, to which lines are appended.
     process : str
-        The process's name, as ``service.name``.
+        Name of the process, recorded as ``service.name``.
     sample : float
-        Share of requests without a context that are sampled, 0 to 1.
+        Share of the requests without a ``traceparent`` header that are sampled, 0 to 1.
     rng : random.Random
+        Source of randomness for sampling.
     """
 
     def __init__(self, path: str, process: str, sample: float, rng: Random):
-        # Imported here: the SDK takes memory that a daemon without traces saves.
+        # Imported only here, so that a daemon without traces saves the memory of the SDK.
         from opentelemetry.sdk.resources import Resource
         from opentelemetry.sdk.trace import TracerProvider
         from opentelemetry.sdk.trace.export import BatchSpanProcessor, ConsoleSpanExporter
@@ -122,10 +124,10 @@
         match = _TRACEPARENT.match(traceparent)
         if match is None:
             if self._rng.random() >= self._sample:
-                return _PassedSpan("")
+                return _ForwardedSpan("")
             return _OtelSpan(self._tracer.start_span(name))
-        if not int(match.group(3), 16) & _SAMPLED:
-            return _PassedSpan(traceparent)
+        if not int(match.group(3), 16) & _SAMPLED_FLAG:
+            return _ForwardedSpan(traceparent)
         return _OtelSpan(self._tracer.start_span(name, context=_make_context(match)))
 
     def close(self) -> None:
@@ -136,5 +138,5 @@
 def _make_context(match: re.Match):
     from opentelemetry.trace import NonRecordingSpan, SpanContext, TraceFlags, set_span_in_context
 
-    context = SpanContext(int(match.group(1), 16), int(match.group(2), 16), True, TraceFlags(_SAMPLED))
+    context = SpanContext(int(match.group(1), 16), int(match.group(2), 16), True, TraceFlags(_SAMPLED_FLAG))
     return set_span_in_context(NonRecordingSpan(context))
