--- a/packages/lanedock/lanedock/config/__init__.py
+++ b/packages/lanedock/lanedock/config/__init__.py
@@ -1,5 +1,5 @@
 # SPDX-License-Identifier: BSD-3-Clause
-"""The operators' file: its model, its checks and its digest."""
+"""Model, validation and digest of the operators' file."""
 
 from lanedock.config.core import CallerLimits, MeshConfig, Route, Service, Split, TrafficClass, Version
 from lanedock.config.diff import Difference, compare
--- a/packages/lanedock/lanedock/config/core.py
+++ b/packages/lanedock/lanedock/config/core.py
@@ -1,5 +1,5 @@
 # SPDX-License-Identifier: BSD-3-Clause
-"""The model of a mesh configuration: plain data, complete and checked."""
+"""Data classes of a validated mesh configuration."""
 
 from itertools import chain
 from sys import intern
@@ -20,14 +20,14 @@
 
 
 class Version:
-    """A version's identity: its number and the digest of its content.
+    """The identity of a version: its number and the digest of its content.
 
     Parameters
     ----------
     number : int
-        0 for "none yet".
+        Version number; 0 if there is no version yet.
     digest : bytes
-        SHA-256 of the canonical content, 32 bytes; empty for "none yet".
+        SHA-256 of the canonical content, 32 bytes; empty if there is no version yet.
     """
 
     __slots__ = ("digest", "number")
@@ -49,15 +49,15 @@
 
 
 class TrafficClass:
-    """A kind of traffic with slots of its own.
+    """A class of traffic with a guaranteed share of slots.
 
     Parameters
     ----------
     name : str
     share : float
-        Part of an upstream's slots kept for the class, 0 to 1.
+        Fraction of an upstream's slots that is reserved for the class, 0 to 1.
     priority : int
-        0 is served first when requests queue.
+        Priority in the queue; 0 is served first.
     """
 
     __slots__ = ("name", "priority", "share")
@@ -72,22 +72,23 @@
 
 
 class Service:
-    """A service: where it may run and what one upstream of it bears.
+    """A service, its zones and the limits of each of its upstreams.
 
     Parameters
     ----------
     name : str
     zones : tuple of str
+        Availability zones in which the service may run.
     slots : int
-        Requests that one upstream works on at once.
+        Requests that one upstream runs concurrently.
     connections : int
         Connections that one upstream accepts.
     queue : int
-        Requests that may wait for a slot of one upstream.
+        Requests that may wait for a slot at one upstream.
     calls : tuple of str
-        Services that it may call.
+        Services that this service may call.
     health_path : str
-        Where its application reports whether it is well; empty for nowhere.
+        Path of the application's health check; empty if it has none.
     """
 
     __slots__ = ("calls", "connections", "health_path", "name", "queue", "slots", "zones")
@@ -115,13 +116,13 @@
 
 
 class Split:
-    """One part of a route whose requests are divided.
+    """A service that gets a weighted part of a route's requests.
 
     Parameters
     ----------
     service : str
     weight : float
-        Against the sum of all weights of the route.
+        Weight relative to the sum of all weights of the route.
     """
 
     __slots__ = ("service", "weight")
@@ -135,13 +136,16 @@
 
 
 class CallerLimits:
-    """What callers may send, and how long they may take.
+    """Size limits and time-outs for callers' requests.
 
     Parameters
     ----------
     header_bytes, body_bytes : int
-    header_timeout_ms, idle_timeout_ms : float
-        In milliseconds.
+        Maximum size of a request's head and body, in bytes.
+    header_timeout_ms : float
+        Maximum time to receive a head once it has begun, in milliseconds.
+    idle_timeout_ms : float
+        Time for which an idle connection is kept open, in milliseconds.
     """
 
     __slots__ = ("body_bytes", "header_bytes", "header_timeout_ms", "idle_timeout_ms")
@@ -163,34 +167,34 @@
 
 
 class Route:
-    """A rule that leads requests to a service.
+    """A rule that maps matching requests to a service.
 
     Parameters
     ----------
     name : str
     host : str
-        ``*`` for any; kept in lower case.
+        Host to match, stored in lower case; ``*`` matches any host.
     path : str
-        Prefix, matched by whole segments.
+        Path prefix, matched by whole segments.
     methods : tuple of str
-        Empty for any.
+        HTTP methods to match; empty matches any method.
     service : str
-        The only service, or that of the split's first part.
+        The target service; with a split, the service of its first part.
     traffic_class : str
     repeatable : bool
         Whether a request may run more than once.
     deadline_ms : float
-        Longest time a request may take, in milliseconds.
+        Maximum duration of a request, in milliseconds.
     target_ms : float
-        Time within which an answer is wanted, in milliseconds.
+        Desired response time, in milliseconds; `deadline_ms` by default.
     max_attempts : int
-        Upstreams to which one request may be sent at the most.
+        Maximum number of upstreams to which one request is sent.
     upload : bool
-        Whether its requests have large bodies.
+        Whether requests have large bodies.
     download : bool
-        Whether its answers have large bodies.
+        Whether answers have large bodies.
     split : tuple of Split
-        Empty where one service takes all requests.
+        Weighted services; empty if one service gets all requests.
     """
 
     __slots__ = (
@@ -226,7 +230,7 @@
         split=(),
     ):
         self.name = name
-        # Many routes have these in common.
+        # Interned to save memory: many routes share these strings.
         self.host = intern(host.lower())
         self.path = path
         self.methods = tuple(methods)
@@ -255,15 +259,16 @@
     traffic_classes, services : dict
         `TrafficClass` and `Service` objects by name.
     route_groups : dict of str to tuple of Route
-        All routes, by the group of the version's content in which they stand. Versions
-        that have a group in common share its routes.
+        Routes of each content group; see `lanedock.config.tree`. Versions that
+        have an identical group share its routes.
     endpoint_window_ms : int
-        How long endpoint changes are gathered, in milliseconds.
-    limits : CallerLimits
+        Time for which endpoint changes are batched before they are sent, in milliseconds.
+    limits : CallerLimits, optional
 
     Attributes
     ----------
     routes : tuple of Route
+        The routes of all groups.
     """
 
     __slots__ = (
@@ -290,7 +295,7 @@
         self.limits = limits or CallerLimits()
 
     def with_routes(self, version: Version, route_groups: dict[str, tuple[Route, ...]]) -> "MeshConfig":
-        """Return another version that differs in its routes alone."""
+        """Return a copy with another version and other routes."""
         return MeshConfig(
             self.mesh,
             version,
--- a/packages/lanedock/lanedock/config/diff.py
+++ b/packages/lanedock/lanedock/config/diff.py
@@ -1,23 +1,23 @@
 # SPDX-License-Identifier: BSD-3-Clause
-"""What two configurations have different."""
+"""Comparison of two configurations."""
 
 __all__ = ["Difference", "compare"]
 
 _NAMED_LISTS = ("traffic_classes", "services", "routes")
-_PLAIN_KEYS = ("mesh", "version", "zones", "endpoint_window_ms")
+_TOP_LEVEL_KEYS = ("mesh", "version", "zones", "endpoint_window_ms")
 
 
 class Difference:
-    """One difference.
+    """One difference between two configurations.
 
     Parameters
     ----------
     kind : str
         ``added``, ``removed`` or ``changed``.
     path : str
-        Where: list and name, and the key within.
+        ``LIST/NAME/KEY`` for an item of a list, or the key itself.
     before, after : object
-        The values; None where there is none.
+        The values; None if the item or key is absent.
     """
 
     __slots__ = ("after", "before", "kind", "path")
@@ -42,9 +42,9 @@
     Returns
     -------
     list of Difference
-        Items of lists are paired by name, so that moving one is no difference.
+        Items of lists are matched by name, so a change of order is not a difference.
     """
-    differences = _compare_keys("", before, after, _PLAIN_KEYS)
+    differences = _compare_keys("", before, after, _TOP_LEVEL_KEYS)
     for key in _NAMED_LISTS:
         old = {item["name"]: item for item in before.get(key, ())}
         new = {item["name"]: item for item in after.get(key, ())}
--- a/packages/lanedock/lanedock/config/tests/test_load.py
+++ b/packages/lanedock/lanedock/config/tests/test_load.py
@@ -151,7 +151,7 @@
     routes = _make_routes(range(1000))
     before = split_config({**VALUE, "routes": routes})
     after = split_config({**VALUE, "version": 4, "routes": [{**routes[0], "path": "/else"}, *routes[1:]]})
-    (changed,), dropped = (set(part) for part in after.held_changes(before))
+    (changed,), dropped = (set(part) for part in after.compare_contents(before))
     assert changed.startswith("one") and not dropped
     push = after.delta_push(set(after.digests), before, set(before.digests))
     assert len(push.SerializeToString()) < 1024
--- a/packages/lanedock/lanedock/config/tree.py
+++ b/packages/lanedock/lanedock/config/tree.py
@@ -1,15 +1,20 @@
 # SPDX-License-Identifier: BSD-3-Clause
-"""A version as a set of digested groups, its slices and its deltas.
-
-A version is split into one group for each service (the service and the routes
-that lead to it) and one for what holds for the whole mesh. Where many routes lead to a
-service, they stand in groups of their own, of a few routes each: which of them a route
-stands in follows from the hash of its name, so a change of one route changes one group,
-however many others there are. The version's
-digest covers its number and every group's digest, a hash tree of two levels
-(Merkle, "A Digital Signature Based on a Conventional Encryption Function",
-1987). A daemon that holds only the groups it needs can so still verify that
-they belong to the whole version.
+"""Hash tree of a version's content, with slices and deltas.
+
+The content of a version is split into groups: one for the settings of the whole
+mesh and one for each service, with the service and its routes. If a service has
+many routes, they are stored in separate groups of a few routes each. The hash of
+a route's name determines its group, so a change of one route changes one group,
+regardless of the number of routes.
+
+The digest of a version covers its number and the digest of every group, as a
+hash tree of two levels [1]_. A daemon that holds only the groups that it needs
+can therefore verify that they belong to the version.
+
+References
+----------
+.. [1] Merkle, "A Digital Signature Based on a Conventional Encryption Function",
+   1987.
 """
 
 import hashlib
@@ -34,31 +39,31 @@
 ]
 
 MESH_GROUP = ""
-# Between a service's name and the bits of its routes' hashes in the name of a group of
-# routes; no service's name has a control character.
-_ROUTES_MARK = "\x1f"
-# Routes in one group. A change of a route sends those of its group: with fewer, the digests
-# that each version is made of and compared by grow, and with them the work on any change.
+# Separates the service's name from the hash prefix in the name of a route group. Names of
+# services contain no control characters.
+_ROUTE_GROUP_SEPARATOR = "\x1f"
+# Maximum number of routes in one group. A change of a route resends its whole group. Smaller
+# groups mean more digests, and thus more work to build and compare every version.
 MAX_GROUP_ROUTES = 16
 _ENCODER = json.JSONEncoder(sort_keys=True, separators=(",", ":"), ensure_ascii=False)
-# Bits of a route's hash: enough to tell millions of names apart.
+# Length of a route's hash, in bits: enough to distinguish millions of names.
 _HASH_BITS = 64
-# A content that unpacks to more than this is refused, not unpacked.
+# Maximum size of decompressed content, in bytes; larger content is refused.
 MAX_CONTENT_BYTES = 16 * 1024 * 1024
 _MESH_KEYS = ("mesh", "zones", "traffic_classes", "endpoint_window_ms", "limits")
 
 
 class ConfigTree:
-    """The groups of one version; some may be known by digest only.
+    """The content groups of one version; some may be known by digest only.
 
     Parameters
     ----------
     number : int
-        The version's number.
+        Version number.
     digests : dict of str to bytes
-        Each group's SHA-256, 32 bytes.
+        SHA-256 digest of each group, 32 bytes.
     contents : dict of str to bytes
-        Canonical JSON of the groups held.
+        Canonical JSON of each group that is held.
     """
 
     __slots__ = ("contents", "digests", "number", "version")
@@ -67,7 +72,7 @@
         self.number = number
         self.digests = digests
         self.contents = contents
-        self.version = Version(number, _digest_root(number, digests))
+        self.version = Version(number, _compute_root_digest(number, digests))
 
     def __repr__(self) -> str:
         return f"<ConfigTree {self.version} held={len(self.contents)}/{len(self.digests)}>"
@@ -78,93 +83,94 @@
         return len(self.contents) < len(self.digests)
 
     def group(self, name: str) -> dict:
-        """Parse a held group."""
+        """Return the parsed content of a group that is held."""
         return json.loads(self.contents[name])
 
     def value(self) -> dict:
-        """Join the held groups to a parsed file.
+        """Merge the held groups into a parsed operators' file.
 
         Returns
         -------
         dict
-            With `version`; services are ordered by name, routes by their service and name.
+            The file with its `version`; services are sorted by name, routes by
+            service and name.
         """
         value = dict(self.group(MESH_GROUP))
         value["version"] = self.number
         groups = [self.group(name) for name in sorted(self.contents) if name != MESH_GROUP]
         value["services"] = [group["service"] for group in groups if "service" in group]
         routes = [route for group in groups for route in group["routes"]]
-        value["routes"] = sorted(routes, key=lambda route: (_first_service(route), route["name"]))
+        value["routes"] = sorted(routes, key=lambda route: (_owning_service(route), route["name"]))
         return value
 
-    def held_changes(self, base: "ConfigTree") -> tuple[set[str], set[str]]:
-        """Compare the groups that are held here with those that a base holds.
+    def compare_contents(self, base: "ConfigTree") -> tuple[set[str], set[str]]:
+        """Compare the contents held by this tree with those held by a base.
 
         Returns
         -------
         changed : set of str
-            Held here, and not with this content there.
+            Groups held by this tree that the base lacks or holds with other content.
         dropped : set of str
-            Held there, and not here.
+            Groups held by the base but not by this tree.
         """
         changed = {name for name, content in self.contents.items() if base.contents.get(name) != content}
         return changed, base.contents.keys() - self.contents.keys()
 
     def slice(self, names: set[str]) -> "ConfigTree":
-        """Return the same version with only the named groups held."""
+        """Return a tree of the same version that holds only the named groups."""
         contents = {name: self.contents[name] for name in names if name in self.contents}
         return ConfigTree(self.number, self.digests, contents)
 
     def pack(self) -> bytes:
-        """Serialize the held groups, as `from_packed` reads them."""
-        return pack_groups(self._groups(self.contents, set(self.contents)))
+        """Serialize the held groups for `from_packed`."""
+        return pack_groups(self._make_groups(self.contents, set(self.contents)))
 
     @classmethod
     def from_packed(cls, number: int, packed: bytes) -> "ConfigTree":
-        """Make a whole version's tree from what `pack` returned.
+        """Deserialize the tree of a whole version from the output of `pack`.
 
         Raises
         ------
         LanedockError
-            `ErrorCode.DIGEST_MISMATCH`: these are not packed groups.
+            `ErrorCode.DIGEST_MISMATCH`: the bytes are not packed groups.
         """
         contents = {group.name: group.content for group in unpack_groups(packed)}
         digests = {name: hashlib.sha256(content).digest() for name, content in contents.items()}
         return cls(number, digests, contents)
 
     def whole_push(self, names: set[str]) -> messages.ConfigPush:
-        """Make a message that carries the named groups and all digests."""
+        """Make a message with the content of the named groups and the digests of all others."""
         push = messages.ConfigPush(version=self.number, digest=self.version.digest)
-        push.groups = pack_groups(self._groups(self.digests, names))
+        push.groups = pack_groups(self._make_groups(self.digests, names))
         return push
 
     def delta_push(self, names: set[str], base: "ConfigTree", base_names: set[str]) -> messages.ConfigPush:
-        """Make a message that leads from a base to this version.
+        """Make a message with the delta from a base to this version.
 
         Parameters
         ----------
         names : set of str
-            Groups that the daemon needs of this version.
+            Groups of this version that the daemon needs.
         base : ConfigTree
-            What the daemon holds.
+            Version that the daemon holds.
         base_names : set of str
-            Groups that it holds of the base.
+            Groups of the base that the daemon holds.
         """
         changed = {name for name, digest in self.digests.items() if base.digests.get(name) != digest}
-        fresh = names - base_names
-        # Told by digest alone, which makes the receiver let go of the content.
+        newly_needed = names - base_names
+        # Sent as digests only, so that the receiver discards their content.
         unneeded = (base_names - names) & self.digests.keys()
         push = messages.ConfigPush(version=self.number, digest=self.version.digest)
         push.base_digest = base.version.digest
-        push.groups = pack_groups(self._groups(sorted(changed | fresh | unneeded), names))
+        push.groups = pack_groups(self._make_groups(sorted(changed | newly_needed | unneeded), names))
         push.removed.extend(sorted(base.digests.keys() - self.digests.keys()))
         return push
 
-    def _groups(self, digests, names: set[str]) -> list:
+    def _make_groups(self, digests, names: set[str]) -> list:
         groups = []
         for name in sorted(digests):
             content = self.contents.get(name, b"") if name in names else b""
-            # A content carries its digest in itself, so it isn't sent twice.
+            # The receiver computes the digest from the content, so it isn't sent as well.
             digest = b"" if content else self.digests[name]
             groups.append(messages.Group(name=name, digest=digest, content=content))
         return groups
@@ -177,13 +183,13 @@
         ----------
         push : ConfigPush
         bases : list of ConfigTree
-            What the receiver holds.
+            Trees that the receiver holds.
 
         Raises
         ------
         LanedockError
-            `ErrorCode.DIGEST_MISMATCH`: the base is unknown, or the result is
-            not the version that the push names.
+            `ErrorCode.DIGEST_MISMATCH`: the base is not held, or the digest of the
+            result is not the one in the push.
         """
         digests, contents = {}, {}
         if push.base_digest:
@@ -202,7 +208,9 @@
                 digests[group.name] = group.digest
         tree = cls(push.version, digests, contents)
         if tree.version.digest != push.digest:
-            raise LanedockError(ErrorCode.DIGEST_MISMATCH, f"version {push.version} came with another content")
+            raise LanedockError(
+                ErrorCode.DIGEST_MISMATCH, f"content of version {push.version} does not match its digest"
+            )
         return tree
 
 
@@ -210,10 +218,10 @@
     for base in bases:
         if base is not None and base.version.digest == digest:
             return base
-    raise LanedockError(ErrorCode.DIGEST_MISMATCH, "the base of a delta is not held")
+    raise LanedockError(ErrorCode.DIGEST_MISMATCH, "the base of the delta is not held")
 
 
-def _digest_root(number: int, digests: dict[str, bytes]) -> bytes:
+def _compute_root_digest(number: int, digests: dict[str, bytes]) -> bytes:
     root = hashlib.sha256(struct.pack(">Q", number))
     for name in sorted(digests):
         encoded = name.encode()
@@ -222,46 +230,46 @@
 
 
 def split_config(value: dict) -> ConfigTree:
-    """Split a checked, parsed file into its groups.
+    """Split a validated operators' file into its content groups.
 
     Parameters
     ----------
     value : dict
-        As `check_document` accepts it.
+        Parsed file that `check_document` accepts.
     """
     parts = {MESH_GROUP: {key: value[key] for key in _MESH_KEYS if key in value}}
     routes: dict[str, list[dict]] = {service["name"]: [] for service in value["services"]}
     for route in sorted(value["routes"], key=lambda item: item["name"]):
-        routes[_first_service(route)].append(route)
+        routes[_owning_service(route)].append(route)
     for service in value["services"]:
         name = service["name"]
-        own, groups = _group_routes(name, routes[name])
-        parts[name] = {"service": service, "routes": own}
+        main_routes, groups = _group_routes(name, routes[name])
+        parts[name] = {"service": service, "routes": main_routes}
         parts.update(groups)
-    contents = {name: _canonical(part) for name, part in parts.items()}
+    contents = {name: _encode_canonical(part) for name, part in parts.items()}
     digests = {name: hashlib.sha256(content).digest() for name, content in contents.items()}
     return ConfigTree(value["version"], digests, contents)
 
 
 def _group_routes(service: str, routes: list[dict]) -> tuple[list[dict], dict[str, dict]]:
-    """Divide a service's routes into those of its own group and further groups of them.
+    """Divide a service's routes into those in its own group and separate route groups.
 
-    A binary trie over the hashes of their names: what a group holds depends on the routes
-    alone, not on the order in which they were added.
+    The groups are the leaves of a binary trie over the hashes of the routes' names, so they
+    do not depend on the order in which routes were added.
     """
     if len(routes) <= MAX_GROUP_ROUTES:
         return routes, {}
     members = sorted(((_hash_name(route["name"]), route) for route in routes), key=itemgetter(0))
     hashes = [digest for digest, _ in members]
     groups: dict[str, dict] = {}
-    # Bits of the prefix, and the members that begin with them.
+    # Subtrees: depth in bits, prefix, and the range of the members with that prefix.
     pending = [(0, 0, 0, len(members))]
     while pending:
         depth, prefix, first, last = pending.pop()
         if depth and (last - first <= MAX_GROUP_ROUTES or depth == _HASH_BITS):
             if last > first:
-                own = sorted((route for _, route in members[first:last]), key=itemgetter("name"))
-                groups[f"{service}{_ROUTES_MARK}{prefix:0{depth}b}"] = {"routes": own}
+                group_routes = sorted((route for _, route in members[first:last]), key=itemgetter("name"))
+                groups[f"{service}{_ROUTE_GROUP_SEPARATOR}{prefix:0{depth}b}"] = {"routes": group_routes}
             continue
         middle = bisect_left(hashes, (2 * prefix + 1) << (_HASH_BITS - depth - 1), first, last)
         pending.append((depth + 1, 2 * prefix, first, middle))
@@ -274,43 +282,44 @@
 
 
 def is_service_group(name: str) -> bool:
-    """Tell whether a group is a service's own: neither the mesh's nor one of routes alone."""
-    return name != MESH_GROUP and _ROUTES_MARK not in name
+    """Tell whether a group is the main group of a service, not the mesh group or a route group."""
+    return name != MESH_GROUP and _ROUTE_GROUP_SEPARATOR not in name
 
 
-def _first_service(route: dict) -> str:
-    """Return the service in whose group a route stands."""
+def _owning_service(route: dict) -> str:
+    """Return the service whose groups contain a route: the first one of a split."""
     return route["split"][0]["service"] if "split" in route else route["service"]
 
 
-def _canonical(value: dict) -> bytes:
+def _encode_canonical(value: dict) -> bytes:
     return _ENCODER.encode(value).encode()
 
 
 def needed_groups(tree: ConfigTree, is_entry: bool, service: str) -> set[str]:
-    """Tell which groups a daemon needs.
+    """Return the names of the groups that a daemon needs.
 
     Parameters
     ----------
     tree : ConfigTree
-        Whole.
+        Tree that holds all groups.
     is_entry : bool
-        An entry daemon takes requests for any service.
+        Whether it is an entry daemon, which accepts requests for any service.
     service : str
         The service of the daemon's upstream; empty for an entry daemon.
 
     Returns
     -------
     set of str
-        For an upstream's daemon: its own service and those it may call.
+        All groups for an entry daemon. For an upstream's daemon, those of the
+        mesh, its own service and the services that it may call.
     """
     if is_entry:
         return set(tree.digests)
     if service not in tree.contents:
         return {MESH_GROUP}
     services = {service, *tree.group(service)["service"].get("calls", ())}
-    needed = {name for name in tree.digests if name.partition(_ROUTES_MARK)[0] in services}
-    # A called service that there is not is a finding of the receiver's own check.
+    needed = {name for name in tree.digests if name.partition(_ROUTE_GROUP_SEPARATOR)[0] in services}
+    # Includes called services that don't exist: the receiver's validation reports them.
     return {MESH_GROUP, *services, *needed}
 
 
@@ -320,19 +329,20 @@
 
 
 def unpack_groups(packed: bytes) -> list:
-    """Take packed groups apart.
+    """Decompress and parse groups that `pack_groups` returned.
 
     Raises
     ------
     LanedockError
-        `ErrorCode.DIGEST_MISMATCH`: not packed groups, or far too large.
+        `ErrorCode.DIGEST_MISMATCH`: the bytes are not packed groups, or their content exceeds
+        `MAX_CONTENT_BYTES`.
     """
     unpacker = zlib.decompressobj()
     try:
         data = unpacker.decompress(packed, MAX_CONTENT_BYTES)
         groups = list(messages.ConfigContent.FromString(data).groups)
-    except Exception as exc:  # zlib.error or protobuf's DecodeError, both mean the same here
-        raise LanedockError(ErrorCode.DIGEST_MISMATCH, f"content can't be unpacked: {exc}") from exc
+    except Exception as exc:  # zlib.error or protobuf's DecodeError: the bytes are corrupt
+        raise LanedockError(ErrorCode.DIGEST_MISMATCH, f"content can't be decompressed or parsed: {exc}") from exc
     if unpacker.unconsumed_tail:
-        raise LanedockError(ErrorCode.DIGEST_MISMATCH, f"content unpacks to over {MAX_CONTENT_BYTES} bytes")
+        raise LanedockError(ErrorCode.DIGEST_MISMATCH, f"decompressed content exceeds {MAX_CONTENT_BYTES} bytes")
     return groups
