--- a/packages/lanedock/lanedock/findings/__init__.py
+++ b/packages/lanedock/lanedock/findings/__init__.py
@@ -1,5 +1,5 @@
 # SPDX-License-Identifier: BSD-3-Clause
-"""Findings with their place, the reading of JSON with comments, and of fields that others send."""
+"""Findings with positions, and readers for JSON with comments and for fields of received objects."""
 
 from lanedock.findings.core import Finding, FindingsError, Place
 from lanedock.findings.fields import MAX_COUNT, FieldReader, is_number
--- a/packages/lanedock/lanedock/findings/core.py
+++ b/packages/lanedock/lanedock/findings/core.py
@@ -1,5 +1,5 @@
 # SPDX-License-Identifier: BSD-3-Clause
-"""Findings: what is wrong with an input, and where."""
+"""Findings: errors in an input, with their positions."""
 
 from lanedock.errors import ErrorCode, LanedockError
 
@@ -12,11 +12,11 @@
     Parameters
     ----------
     file : str
-        Name of the file, or a word for the source.
+        Name of the file or other source.
     line, column : int
-        Both count from 1; 0 where the position is not known.
+        Position, counted from 1; 0 if it is not known.
     path : str
-        JSON pointer (RFC 6901) of the value meant.
+        JSON pointer (RFC 6901) to the value.
     """
 
     __slots__ = ("column", "file", "line", "path")
@@ -36,13 +36,13 @@
 
 
 class Finding:
-    """One thing wrong with an input.
+    """One error in an input.
 
     Parameters
     ----------
     code : ErrorCode
     message : str
-        The particulars, in one sentence.
+        Details of the error, in one sentence.
     place : Place
     """
 
@@ -61,7 +61,7 @@
 
 
 class FindingsError(LanedockError):
-    """An input was refused; carries every finding at once.
+    """Raised when an input is refused; has all findings.
 
     Parameters
     ----------
@@ -70,5 +70,5 @@
     """
 
     def __init__(self, findings: list[Finding]):
-        super().__init__(findings[0].code, f"{len(findings)} finding(s), the first: {findings[0]}")
+        super().__init__(findings[0].code, f"{len(findings)} finding(s); first: {findings[0]}")
         self.findings = findings
--- a/packages/lanedock/lanedock/findings/fields.py
+++ b/packages/lanedock/lanedock/findings/fields.py
@@ -1,5 +1,5 @@
 # SPDX-License-Identifier: BSD-3-Clause
-"""Reads what others send field by field; what is wrong is found with its place."""
+"""Field-by-field validation of JSON objects that other programs send."""
 
 import json
 import sys
@@ -9,55 +9,55 @@
 
 __all__ = ["MAX_COUNT", "FieldReader", "is_number"]
 
-# Signs of a wrong value that are shown; its reader knows it by its beginning.
-_SHOWN_LENGTH = 60
-# Largest whole number that every writer of JSON holds exactly (RFC 8259, section 6).
+# Maximum number of characters of an invalid value in a message; the beginning is enough to identify it.
+_MAX_SHOWN_LENGTH = 60
+# Largest integer that every JSON implementation represents exactly (RFC 8259, section 6).
 MAX_COUNT = 2**53
-# Times any of the factors, it is finite still.
-_LARGEST = sys.float_info.max / 1000
+# Largest number accepted; it stays finite when multiplied by 1000 to convert its unit.
+_MAX_NUMBER = sys.float_info.max / 1000
 _REQUIRED = object()
 
 
 class FieldReader:
-    """Reads the fields of one object, and collects what is wrong with them.
+    """Reads the fields of one object and collects findings about them.
 
-    A field that can't be read yields a value of its type, so that reading goes
-    on and all findings are reported together. One that has a default may be missing, but
-    not be of another type.
+    An invalid field yields a placeholder value of its type, so that reading
+    continues and all findings are reported together. A field with a default may
+    be missing, but may not have another type.
 
     Parameters
     ----------
     source : str
-        Named in findings.
+        Name of the source in findings.
     value : object
-        The object, as parsed.
+        The parsed JSON object.
     path : str
-        JSON pointer (RFC 6901) of it.
+        JSON pointer (RFC 6901) to the object.
     findings : list of Finding
-        Collects; shared by all readers of one input.
+        List to which findings are appended; shared by all readers of one input.
     """
 
-    __slots__ = ("_label", "_path", "_source", "_value", "findings")
+    __slots__ = ("_name_suffix", "_path", "_source", "_value", "findings")
 
     def __init__(self, source: str, value: object, path: str, findings: list[Finding]):
         self._source = source
         self.findings = findings
         self._path = path
-        self._label = ""
+        self._name_suffix = ""
         self._value = value if isinstance(value, dict) else {}
         if not isinstance(value, dict):
-            self._add(path, f"an object is due, not {_shown(value)}")
+            self._add(path, f"expected an object, got {_abbreviate(value)}")
         elif isinstance(value.get("name"), str):
-            self._label = f" of {value['name']!r}"
+            self._name_suffix = f" of {value['name']!r}"
 
     @classmethod
     def parse(cls, source: str, data: bytes) -> "FieldReader":
-        """Return a reader of the object that is written in JSON.
+        """Return a reader of a JSON object.
 
         Raises
         ------
         FindingsError
-            `ErrorCode.NOT_JSON`
+            `ErrorCode.NOT_JSON`: the data is not JSON.
         """
         try:
             value = json.loads(data)
@@ -66,54 +66,57 @@
         return cls(source, value, "", [])
 
     def __contains__(self, name: str) -> bool:
-        """Tell whether a field is given, and isn't empty."""
+        """Tell whether a field is present and not empty."""
         return bool(self._value.get(name))
 
     def finish(self) -> None:
-        """Report what was found.
+        """Raise the collected findings, if any.
 
         Raises
         ------
         FindingsError
-            With every field that is missing or of the wrong kind.
+            Fields are missing or invalid; the error has all findings.
         """
         if self.findings:
             raise FindingsError(self.findings)
 
     def text(self, name: str, default: object = _REQUIRED) -> str:
-        """Return a text, which can be written in UTF-8."""
+        """Return a string that can be encoded in UTF-8."""
         value = self._get(name, default)
         return value if _is_text(value) else self._refuse(name, "a text", "")
 
     def word(self, name: str, known: dict, default: object = _REQUIRED) -> object:
-        """Return what a word stands for."""
+        """Return the value to which `known` maps the field's string."""
         value = self._get(name, default)
         if isinstance(value, str) and value in known:
             return known[value]
         return self._refuse(name, "one of " + ", ".join(known), next(iter(known.values())))
 
     def constant(self, name: str, value: object) -> None:
-        """Accept one value only, which may be left out."""
+        """Check that a field is missing or has the one value that is accepted."""
         if self._value.get(name, value) != value:
-            self._refuse(name, _shown(value), None)
+            self._refuse(name, _abbreviate(value), None)
 
-    def count(self, name: str, least: int, most: int = MAX_COUNT, default: object = _REQUIRED) -> int:
-        """Return a whole number."""
+    def count(self, name: str, minimum: int, maximum: int = MAX_COUNT, default: object = _REQUIRED) -> int:
+        """Return an integer within bounds."""
         value = self._get(name, default)
-        is_count = isinstance(value, int) and not isinstance(value, bool) and least <= value <= most
-        return value if is_count else self._refuse(name, f"a whole number from {least} to {most}", least)
+        is_count = isinstance(value, int) and not isinstance(value, bool) and minimum <= value <= maximum
+        return value if is_count else self._refuse(name, f"a whole number from {minimum} to {maximum}", minimum)
 
-    def number(self, name: str, most: float = _LARGEST, default: object = _REQUIRED) -> float:
-        """Return a number that is not below 0."""
+    def number(self, name: str, maximum: float = _MAX_NUMBER, default: object = _REQUIRED) -> float:
+        """Return a number from 0 to a maximum."""
         value = self._get(name, default)
-        return value if is_number(value) and 0 <= value <= most else self._refuse(name, "a number not below 0", 0)
+        return value if is_number(value) and 0 <= value <= maximum else self._refuse(name, "a number not below 0", 0)
 
     def object(self, name: str) -> "FieldReader":
-        """Return a reader of an object."""
+        """Return a reader of a nested object."""
         return type(self)(self._source, self._get(name), f"{self._path}/{name}", self.findings)
 
     def objects(self, name: str, is_apart: bool = False) -> list["FieldReader"]:
-        """Return a reader for each object of a list; each with findings of its own where they are apart."""
+        """Return a reader for each object in a list.
+
+        With `is_apart`, each reader collects its findings in a list of its own.
+        """
         value = self._get(name)
         if not isinstance(value, list):
             return self._refuse(name, "a list", [])
@@ -122,19 +125,19 @@
             for number, item in enumerate(value)
         ]
 
-    def check(self, name: str, is_met: bool, due: str) -> None:
-        """Note that a field that was read is not what is due, unless that is met."""
+    def check(self, name: str, is_met: bool, expected: str) -> None:
+        """Add a finding about a field that was read, unless its condition is met."""
         if not is_met:
-            self._refuse(name, due, None)
+            self._refuse(name, expected, None)
 
     def _get(self, name: str, default: object = _REQUIRED) -> object:
         value = self._value.get(name, default)
         return None if value is _REQUIRED else value
 
-    def _refuse(self, name: str, due: str, instead):
-        found = _shown(self._value[name]) if name in self._value else "nothing"
-        self._add(f"{self._path}/{name}", f"{name}{self._label}: {due} is due, not {found}")
-        return instead
+    def _refuse(self, name: str, expected: str, fallback):
+        found = _abbreviate(self._value[name]) if name in self._value else "nothing"
+        self._add(f"{self._path}/{name}", f"{name}{self._name_suffix}: expected {expected}, got {found}")
+        return fallback
 
     def _add(self, path: str, message: str) -> None:
         self.findings.append(Finding(ErrorCode.SCHEMA, message, Place(self._source, path=path)))
@@ -142,11 +145,11 @@
 
 def is_number(value: object) -> bool:
     """Tell whether a value is a finite number."""
-    return isinstance(value, (int, float)) and not isinstance(value, bool) and -_LARGEST <= value <= _LARGEST
+    return isinstance(value, (int, float)) and not isinstance(value, bool) and -_MAX_NUMBER <= value <= _MAX_NUMBER
 
 
 def _is_text(value: object) -> bool:
-    """Tell whether a value is a text without half of a surrogate pair, which JSON may escape."""
+    """Tell whether a value is a string without lone surrogates, which JSON escapes can produce."""
     if not isinstance(value, str):
         return False
     try:
@@ -156,7 +159,7 @@
     return True
 
 
-def _shown(value: object) -> str:
-    """Return a value as it may stand in a message."""
+def _abbreviate(value: object) -> str:
+    """Return a value as ASCII for a message, truncated to `_MAX_SHOWN_LENGTH`."""
     text = ascii(value)
-    return text if len(text) <= _SHOWN_LENGTH else text[:_SHOWN_LENGTH] + "..."
+    return text if len(text) <= _MAX_SHOWN_LENGTH else text[:_MAX_SHOWN_LENGTH] + "..."
--- a/packages/lanedock/lanedock/findings/jsonc.py
+++ b/packages/lanedock/lanedock/findings/jsonc.py
@@ -1,8 +1,8 @@
 # SPDX-License-Identifier: BSD-3-Clause
-"""JSON with comments, read so that every value keeps its line and column.
+"""Parser for JSON with comments that keeps the line and column of every value.
 
-Comments are replaced by blanks of the same extent, so positions that the
-JSON libraries report are those of the file as written.
+Comments are replaced by blanks of the same length, so that positions reported by
+the JSON libraries apply to the original file.
 """
 
 import json
@@ -14,27 +14,27 @@
 
 __all__ = ["Document", "read_document", "read_text"]
 
-# A string literal, a line comment, or a block comment; strings come first so
-# that a // within one is not taken for a comment.
-_TOKEN = re.compile(r'"(?:[^"\\\n]|\\.)*"|//[^\n]*|/\*.*?\*/', re.DOTALL)
-_TRAILING_COMMA = re.compile(r'"(?:[^"\\\n]|\\.)*"|,(?=\s*[\]}])', re.DOTALL)
+# Matches a string literal, a line comment or a block comment. Strings come first, so
+# that // within a string is not taken for a comment.
+_STRING_OR_COMMENT = re.compile(r'"(?:[^"\\\n]|\\.)*"|//[^\n]*|/\*.*?\*/', re.DOTALL)
+_STRING_OR_TRAILING_COMMA = re.compile(r'"(?:[^"\\\n]|\\.)*"|,(?=\s*[\]}])', re.DOTALL)
 
 
 class _DuplicateKey(Exception):
-    """A key stands twice in one object."""
+    """Raised when an object has a duplicate key."""
 
 
 class Document:
-    """A parsed file that can tell where its values stand.
+    """A parsed file that can locate its values.
 
     Parameters
     ----------
     file : str
-        Name used in places.
+        Name of the file in places.
     value : object
         The parsed JSON value.
     text : str
-        The text with its comments blanked out.
+        The text with its comments replaced by blanks; empty if a program made the value.
     """
 
     __slots__ = ("_positions", "file", "text", "value")
@@ -51,13 +51,13 @@
         Parameters
         ----------
         path : str
-            RFC 6901 pointer; for a missing value, its parent's place is given.
+            JSON pointer (RFC 6901). For a missing value, the position is that of its parent.
         """
         if not self.text:
-            # Made by a program: there is no text to stand in.
+            # The value was made by a program, so it has no position in a text.
             return Place(self.file, path=path)
         if self._positions is None:
-            self._positions = _find_positions(self.text)
+            self._positions = _map_positions(self.text)
         known = path
         while known and known not in self._positions:
             known = known.rpartition("/")[0]
@@ -68,15 +68,14 @@
         return Place(self.file, start.line + 1, start.column + 1, path)
 
 
-def _find_positions(text: str) -> dict:
-    # Imported here: only files with findings need positions, and the daemon's
-    # memory is budgeted.
+def _map_positions(text: str) -> dict:
+    # Imported only when a file has findings: this saves memory in the daemon.
     from json_source_map import calculate
 
     return calculate(text)
 
 
-def _blank(match: re.Match) -> str:
+def _blank_out(match: re.Match) -> str:
     token = match.group()
     if token.startswith('"'):
         return token
@@ -93,7 +92,7 @@
 
 
 def _refuse_constant(name: str):
-    raise ValueError(f"{name} is not JSON")
+    raise ValueError(f"the constant {name} is not JSON")
 
 
 def read_text(text: str, file: str) -> Document:
@@ -103,7 +102,7 @@
     ----------
     text : str
     file : str
-        Name used in places.
+        Name of the file in places.
 
     Returns
     -------
@@ -112,17 +111,17 @@
     Raises
     ------
     FindingsError
-        The text is not JSON, or a key stands twice.
+        The text is not JSON with comments, or an object has a duplicate key.
     """
-    plain = _try_plain(text, file)
-    if plain is not None:
-        return plain
-    blanked = _TRAILING_COMMA.sub(_blank, _TOKEN.sub(_blank, text))
+    document = _try_without_comments(text, file)
+    if document is not None:
+        return document
+    blanked = _STRING_OR_TRAILING_COMMA.sub(_blank_out, _STRING_OR_COMMENT.sub(_blank_out, text))
     try:
         value = json.loads(blanked, object_pairs_hook=_refuse_duplicates, parse_constant=_refuse_constant)
     except _DuplicateKey as exc:
         key = str(exc)
-        raise FindingsError([_duplicate_finding(blanked, file, key)]) from exc
+        raise FindingsError([_make_duplicate_finding(blanked, file, key)]) from exc
     except json.JSONDecodeError as exc:
         place = Place(file, exc.lineno, exc.colno)
         raise FindingsError([Finding(ErrorCode.NOT_JSON, exc.msg, place)]) from exc
@@ -131,8 +130,8 @@
     return Document(file, value, blanked)
 
 
-def _try_plain(text: str, file: str) -> Document | None:
-    """Parse text that needs no blanking, which is most of what machines write."""
+def _try_without_comments(text: str, file: str) -> Document | None:
+    """Parse text without comments, as programs write it; return None if that fails."""
     try:
         value = json.loads(text, object_pairs_hook=_refuse_duplicates, parse_constant=_refuse_constant)
     except (_DuplicateKey, ValueError, RecursionError):
@@ -140,13 +139,16 @@
     return Document(file, value, text)
 
 
-def _duplicate_finding(text: str, file: str, key: str) -> Finding:
-    """Name the second mention of a key; the last one where depth misleads."""
-    mentions = list(re.finditer(re.escape(json.dumps(key, ensure_ascii=False)) + r"\s*:", text))
-    message = f"the key {key!r} stands twice in one object"
-    if not mentions:
+def _make_duplicate_finding(text: str, file: str, key: str) -> Finding:
+    """Make a finding at the second occurrence of a key in the text.
+
+    The occurrences may lie in different objects, so the position is approximate.
+    """
+    occurrences = list(re.finditer(re.escape(json.dumps(key, ensure_ascii=False)) + r"\s*:", text))
+    message = f"duplicate key {key!r} in an object"
+    if not occurrences:
         return Finding(ErrorCode.DUPLICATE_KEY, message, Place(file))
-    start = mentions[min(1, len(mentions) - 1)].start()
+    start = occurrences[min(1, len(occurrences) - 1)].start()
     line = text.count("\n", 0, start) + 1
     column = start - (text.rfind("\n", 0, start) + 1) + 1
     return Finding(ErrorCode.DUPLICATE_KEY, message, Place(file, line, column))
@@ -155,10 +157,18 @@
 def read_document(path: str) -> Document:
     """Read and parse a file of JSON with comments.
 
+    Parameters
+    ----------
+    path : str
+
+    Returns
+    -------
+    Document
+
     Raises
     ------
     FindingsError
-        The file can't be read, or is not UTF-8 JSON with comments.
+        The file can't be read, is not JSON with comments in UTF-8, or has a duplicate key.
     """
     try:
         text = Path(path).read_text(encoding="utf-8")
--- a/packages/lanedock/lanedock/findings/schema.py
+++ b/packages/lanedock/lanedock/findings/schema.py
@@ -1,5 +1,5 @@
 # SPDX-License-Identifier: BSD-3-Clause
-"""Checks of a document against a JSON Schema, with all errors at once."""
+"""Validation of a document against a JSON Schema."""
 
 import json
 from functools import cache
@@ -14,26 +14,26 @@
 
 
 def load_schema(package: str, name: str) -> dict:
-    """Load a schema that ships inside a package."""
-    # Not by `importlib.resources`: with it come modules of 1.3 MB for each daemon (VmRSS).
+    """Load a schema file from a package."""
+    # `importlib.resources` is avoided: its imports would add 1.3 MB to the memory (VmRSS) of each daemon.
     path = Path(import_module(package).__file__).with_name(name)
     return json.loads(path.read_text(encoding="utf-8"))
 
 
-def _inline(schema: object, definitions: dict) -> object:
-    """Put definitions in place of references to them, which the library resolves slowly.
+def _inline_references(schema: object, definitions: dict) -> object:
+    """Replace references by the definitions they refer to, because the library resolves references slowly.
 
-    Keys beside a reference are annotations in our schemas, so that a
-    definition takes the place of the whole.
+    Other keys of an object with a reference are only annotations in these
+    schemas, so the definition replaces the whole object.
     """
     if isinstance(schema, list):
-        return [_inline(item, definitions) for item in schema]
+        return [_inline_references(item, definitions) for item in schema]
     if not isinstance(schema, dict):
         return schema
     if "$ref" in schema:
         name = schema["$ref"].rpartition("/")[2]
-        return _inline(definitions[name], definitions)
-    return {key: _inline(value, definitions) for key, value in schema.items() if key != "$defs"}
+        return _inline_references(definitions[name], definitions)
+    return {key: _inline_references(value, definitions) for key, value in schema.items() if key != "$defs"}
 
 
 @cache
@@ -41,7 +41,7 @@
     from jsonschema import Draft202012Validator
 
     schema = load_schema(package, name)
-    return Draft202012Validator(_inline(schema, schema.get("$defs", {})))
+    return Draft202012Validator(_inline_references(schema, schema.get("$defs", {})))
 
 
 def check_schema(document: Document, package: str, name: str = "schema.json") -> list[Finding]:
@@ -51,12 +51,12 @@
     ----------
     document : Document
     package, name : str
-        Where the schema ships: JSON Schema, draft 2020-12.
+        Package and file name of the schema (JSON Schema, draft 2020-12).
 
     Returns
     -------
     list of Finding
-        Empty where the document fits; ordered by position.
+        Findings sorted by position; empty if the document is valid.
     """
     findings = []
     for error in _make_validator(package, name).iter_errors(document.value):
--- a/packages/lanedock/lanedock/settings/__init__.py
+++ b/packages/lanedock/lanedock/settings/__init__.py
@@ -1,7 +1,7 @@
 # SPDX-License-Identifier: BSD-3-Clause
-"""A process's settings, read from JSON with comments.
+"""Settings of a process, read from JSON with comments.
 
-`lanedock.settings.tls` makes TLS contexts; it is imported where TLS is used.
+`lanedock.settings.tls` makes TLS contexts; it is imported only where TLS is used.
 """
 
 from lanedock.settings.core import (
--- a/packages/lanedock/lanedock/settings/core.py
+++ b/packages/lanedock/lanedock/settings/core.py
@@ -1,5 +1,5 @@
 # SPDX-License-Identifier: BSD-3-Clause
-"""The model of a process's settings: plain data with defaults filled in."""
+"""Data classes of a process's settings, with defaults filled in."""
 
 __all__ = [
     "Address",
@@ -14,7 +14,7 @@
 
 
 class Address:
-    """An IP number and a port.
+    """An IP address and a port.
 
     Parameters
     ----------
@@ -30,7 +30,7 @@
 
     @classmethod
     def parse(cls, text: str) -> "Address":
-        """Make an address of ``host:port`` or ``[host]:port``."""
+        """Parse an address of the form ``host:port`` or ``[host]:port``."""
         host, _, port = text.rpartition(":")
         return cls(host.strip("[]"), int(port))
 
@@ -49,7 +49,7 @@
 
 
 class _Section:
-    """Takes its values by keyword, all of them named in `__slots__`."""
+    """Base class of a settings section; requires a keyword argument for each name in `__slots__`."""
 
     __slots__ = ()
 
@@ -65,19 +65,19 @@
 
 
 class TraceSettings(_Section):
-    """Traces: `file` (str), `sample` (float, 0 to 1)."""
+    """Settings of traces: `file` (str) and `sample` (float, 0 to 1)."""
 
     __slots__ = ("file", "sample")
 
 
 class TlsSettings(_Section):
-    """Mutual TLS: `certificate`, `key`, `authority` (paths of PEM files)."""
+    """Settings of mutual TLS: `certificate`, `key` and `authority` (paths of PEM files)."""
 
     __slots__ = ("authority", "certificate", "key")
 
 
 class ControlSettings(_Section):
-    """A control instance; names and units as in the schema."""
+    """Settings of a control instance; names and units as in the schema."""
 
     __slots__ = (
         "admissions_per_second",
@@ -105,7 +105,7 @@
 
 
 class DaemonSettings(_Section):
-    """How a daemon takes versions; names and units as in the schema."""
+    """Settings of a daemon's configuration source and retries; names and units as in the schema."""
 
     __slots__ = (
         "any_service",
@@ -121,19 +121,19 @@
 
 
 class EntrySettings(_Section):
-    """An entry daemon: `listen` (Address)."""
+    """Settings of an entry daemon: `listen` (Address)."""
 
     __slots__ = ("listen",)
 
 
 class UpstreamSettings(_Section):
-    """An upstream's daemon; names and units as in the schema."""
+    """Settings of an upstream's daemon; names and units as in the schema."""
 
     __slots__ = ("application", "egress", "heartbeat_s", "link_mbps", "listen", "registration", "service")
 
 
 class Settings(_Section):
-    """All settings of a process; a section that is not there is None."""
+    """All settings of a process; a missing section is None."""
 
     __slots__ = (
         "control",
--- a/packages/lanedock/lanedock/settings/tls.py
+++ b/packages/lanedock/lanedock/settings/tls.py
@@ -10,26 +10,26 @@
 
 
 def make_server_context(tls: TlsSettings | None) -> ssl.SSLContext | None:
-    """Make the TLS context of a server that wants its peers' certificates."""
+    """Make the TLS context of a server that requires client certificates; None without TLS."""
     if tls is None:
         return None
     context = ssl.SSLContext(ssl.PROTOCOL_TLS_SERVER)
     context.verify_mode = ssl.CERT_REQUIRED
-    return _load(context, tls)
+    return _load_certificates(context, tls)
 
 
 def make_client_context(tls: TlsSettings | None) -> ssl.SSLContext | None:
-    """Make the TLS context of a client. Peers are known by their authority."""
+    """Make the TLS context of a client that verifies servers by their authority alone; None without TLS."""
     if tls is None:
         return None
     context = ssl.SSLContext(ssl.PROTOCOL_TLS_CLIENT)
-    # Addresses are IP numbers that change hands; the authority signs lanedock's
-    # own processes only, so its signature is what counts.
+    # Host names are not checked: addresses are IP numbers that are reassigned between instances. The
+    # authority signs only lanedock's own processes, so its signature is sufficient.
     context.check_hostname = False
-    return _load(context, tls)
+    return _load_certificates(context, tls)
 
 
-def _load(context: ssl.SSLContext, tls: TlsSettings) -> ssl.SSLContext:
+def _load_certificates(context: ssl.SSLContext, tls: TlsSettings) -> ssl.SSLContext:
     try:
         context.load_cert_chain(tls.certificate, tls.key)
         context.load_verify_locations(tls.authority)
