--- a/packages/lanedock/lanedock/telemetry/metrics.py
+++ b/packages/lanedock/lanedock/telemetry/metrics.py
@@ -70,13 +70,13 @@
     CANARY_SENT = (
         "canary.sent",
         "c",
-        "Requests sent while a canary release runs, by part (canary or stable).",
+        "Requests sent during a canary release, by part (stable, canary or withheld).",
         ("service", "part"),
     )
     CANARY_FAILED = (
         "canary.failed",
         "c",
-        "Failed answers while a canary release runs, by part (canary or stable).",
+        "Failed answers during a canary release, by part (stable, canary or withheld).",
         ("service", "part"),
     )
     EJECTED = ("config.ejected", "c", "Ejections of upstreams.")
