--- a/packages/lanedock/lanedock/config/tests/test_load.py
+++ b/packages/lanedock/lanedock/config/tests/test_load.py
@@ -1,5 +1,5 @@
 # SPDX-License-Identifier: BSD-3-Clause
-"""Tests of the operators' file."""
+"""Tests of the operators' file: validation, content groups, slices and deltas."""
 
 import copy
 import json
@@ -32,7 +32,7 @@
 }
 
 
-def _changed(path: str, new: object) -> dict:
+def _change_value(path: str, new: object) -> dict:
     value = copy.deepcopy(VALUE)
     *parents, last = [int(part) if part.isdigit() else part for part in path.split("/")]
     target = value
@@ -42,7 +42,7 @@
     return value
 
 
-def _findings(value: dict) -> list:
+def _find_errors(value: dict) -> list:
     try:
         check_document(Document("f", value, json.dumps(value)))
     except FindingsError as exc:
@@ -64,8 +64,8 @@
         ("routes/0/path", "one", ErrorCode.SCHEMA, "/routes/0/path"),
     ],
 )
-def test_each_mistake_is_found_at_its_place(path, new, code, place):
-    findings = _findings(_changed(path, new))
+def test_invalid_file_gives_a_finding_at_the_path_of_the_error(path, new, code, place):
+    findings = _find_errors(_change_value(path, new))
     assert (code, place) in [(finding.code, finding.place.path) for finding in findings]
     assert all(finding.place.line == 1 for finding in findings)
 
@@ -89,33 +89,33 @@
         ),
     ],
 )
-def test_what_a_program_has_made_is_checked_without_the_schema(path, new, place):
+def test_check_value_finds_errors_without_the_schema(path, new, place):
     with pytest.raises(FindingsError) as caught:
-        check_value(_changed(path, new), "f")
+        check_value(_change_value(path, new), "f")
     assert [finding.place.path for finding in caught.value.findings] == [place]
 
 
 @pytest.mark.parametrize("name", ["řeka", " r 1/2%", "R:" + 511 * "ř"])
-def test_names_of_programs_may_have_any_signs(name):
-    assert check_value(_changed("routes/0/name", name), "f").value()["routes"][0]["name"] == name
+def test_check_value_accepts_names_with_any_characters_but_controls(name):
+    assert check_value(_change_value("routes/0/name", name), "f").value()["routes"][0]["name"] == name
 
 
-def test_all_findings_come_at_once():
-    value = _changed("routes/0/service", "none")
+def test_all_findings_are_reported_together():
+    value = _change_value("routes/0/service", "none")
     value["routes"][1]["traffic_class"] = "none"
     value["services"][2]["zones"] = ["z8", "z9"]
-    assert len(_findings(value)) == 4
+    assert len(_find_errors(value)) == 4
 
 
-def test_layout_and_order_make_no_other_version():
+def test_version_digest_does_not_depend_on_the_order_of_items():
     other = copy.deepcopy(VALUE)
     other["services"].reverse()
     other["routes"].reverse()
     assert split_config(other).version == split_config(VALUE).version
-    assert split_config(_changed("routes/0/path", "/uno")).version != split_config(VALUE).version
+    assert split_config(_change_value("routes/0/path", "/uno")).version != split_config(VALUE).version
 
 
-def test_a_slice_is_verified_against_the_whole_version():
+def test_slice_is_verified_against_the_digest_of_the_whole_version():
     whole = split_config(VALUE)
     names = needed_groups(whole, False, "one")
     assert names == {"", "one", "two"}
@@ -123,7 +123,7 @@
     assert tree.version == whole.version
     assert set(decode_config(tree).services) == {"one", "two"}
     forged = whole.whole_push(names)
-    forged.groups = split_config(_changed("routes/0/path", "/uno")).whole_push(names).groups
+    forged.groups = split_config(_change_value("routes/0/path", "/uno")).whole_push(names).groups
     with pytest.raises(LanedockError) as caught:
         ConfigTree.from_push(forged, [])
     assert caught.value.code is ErrorCode.DIGEST_MISMATCH
@@ -135,19 +135,19 @@
     ]
 
 
-def test_a_service_with_many_routes_has_them_in_groups_of_few():
+def test_many_routes_of_a_service_are_split_into_small_groups():
     whole = split_config({**VALUE, "routes": _make_routes(range(1000))})
     sizes = [len(whole.group(name)["routes"]) for name in whole.contents if name]
     assert max(sizes) <= MAX_GROUP_ROUTES
     assert sum(sizes) == 1000
     assert len(sizes) < 3 * 1000 / MAX_GROUP_ROUTES
     assert whole.value()["routes"] == sorted(_make_routes(range(1000)), key=lambda route: route["name"])
-    # A daemon of the service, and one of a service that calls it, need them all.
+    # The daemon of the service needs all of its route groups; that of another service needs none.
     assert needed_groups(whole, False, "one") == set(whole.contents) - {"three"}
     assert needed_groups(whole, False, "two") == {"", "two"}
 
 
-def test_a_change_of_one_route_of_many_changes_one_group():
+def test_change_of_one_route_changes_one_group_and_gives_a_small_delta():
     routes = _make_routes(range(1000))
     before = split_config({**VALUE, "routes": routes})
     after = split_config({**VALUE, "version": 4, "routes": [{**routes[0], "path": "/else"}, *routes[1:]]})
@@ -158,7 +158,7 @@
     assert len(push.SerializeToString()) < len(before.pack()) / 20
 
 
-def test_the_groups_do_not_depend_on_the_order_in_which_routes_came():
+def test_groups_do_not_depend_on_the_order_of_routes():
     grown = split_config({**VALUE, "routes": _make_routes(range(100))})
     shrunk = split_config({**VALUE, "routes": _make_routes(reversed(range(100)))})
     assert grown.version == shrunk.version
@@ -170,7 +170,7 @@
         self.config = decode_config(tree, base)
 
 
-def _routes_of(config) -> dict[str, tuple]:
+def _routes_by_name(config) -> dict[str, tuple]:
     return {
         route.name: tuple(getattr(route, name) for name in route.__slots__ if name != "split")
         for route in config.routes
@@ -179,9 +179,9 @@
 
 @settings(max_examples=60, deadline=None, derandomize=True)
 @given(data=st.data())
-def test_a_version_decoded_from_another_is_the_version(data):
-    """Routes of two services come, go and change; a table of routes follows them."""
-    held = table = None
+def test_version_decoded_with_a_base_equals_version_decoded_alone(data):
+    """Routes of two services are added, removed and changed at random; an evolved route table must match as well."""
+    decoded = table = None
     routes = {}
     for number in range(1, 5):
         for service in ("one", "two"):
@@ -196,25 +196,25 @@
         slots = data.draw(st.integers(1, 2))
         services = [{**service, "slots": slots} for service in VALUE["services"]]
         tree = split_config({**VALUE, "version": number, "services": services, "routes": list(routes.values())})
-        if held is not None:
-            push = tree.delta_push(set(tree.digests), held.tree, set(held.tree.digests))
-            tree = ConfigTree.from_push(push, [held.tree])
+        if decoded is not None:
+            push = tree.delta_push(set(tree.digests), decoded.tree, set(decoded.tree.digests))
+            tree = ConfigTree.from_push(push, [decoded.tree])
         whole = decode_config(tree)
-        held = _Decoded(tree, held)
-        assert _routes_of(held.config) == _routes_of(whole)
-        assert held.config.services["one"].slots == slots
-        table = RouteTable(held.config) if table is None else table.evolve(held.config)
+        decoded = _Decoded(tree, decoded)
+        assert _routes_by_name(decoded.config) == _routes_by_name(whole)
+        assert decoded.config.services["one"].slots == slots
+        table = RouteTable(decoded.config) if table is None else table.evolve(decoded.config)
         for route in routes.values():
             assert (
                 table.match("h", route["path"], "GET").name == RouteTable(whole).match("h", route["path"], "GET").name
             )
         for name in range(60):
             for path in ("/one/a", "/one/b", "/two/a", "/two/b"):
-                found, due = (
+                found, expected = (
                     table.match("h", f"{path}{name}", "GET"),
                     RouteTable(whole).match("h", f"{path}{name}", "GET"),
                 )
-                assert (found and found.name) == (due and due.name)
+                assert (found and found.name) == (expected and expected.name)
 
 
 @pytest.mark.parametrize(
@@ -229,32 +229,32 @@
         ({"deadline": 1}, ErrorCode.SCHEMA),
     ],
 )
-def test_a_change_that_does_not_hold_is_found_by_a_daemon_too(change, code):
+def test_decoding_with_a_base_finds_an_invalid_change(change, code):
     routes = _make_routes(range(100))
-    held = _Decoded(split_config({**VALUE, "routes": routes}))
+    decoded = _Decoded(split_config({**VALUE, "routes": routes}))
     changed = {**routes[0], **change}
     names = {"one", "two", "three"}
     services = VALUE["services"]
     if changed["service"] not in names:
-        # Only a source that does not check sends such a one.
+        # Removes the service's group again: only a source that does not validate sends such content.
         services = [*services, {"name": changed["service"], "zones": ["z1"]}]
     tree = split_config({**VALUE, "version": 4, "services": services, "routes": [changed, *routes[1:]]})
     if services is not VALUE["services"]:
         contents = {name: content for name, content in tree.contents.items() if name != "none"}
         group = json.dumps({"routes": [changed]}).encode()
-        tree = ConfigTree(4, {**held.tree.digests, "one\x1fx": b"x"}, {**contents, "one\x1fx": group})
+        tree = ConfigTree(4, {**decoded.tree.digests, "one\x1fx": b"x"}, {**contents, "one\x1fx": group})
         tree.digests = dict.fromkeys(tree.contents, b"")
     if code is None:
-        assert len(decode_config(tree, held).routes) == 100
+        assert len(decode_config(tree, decoded).routes) == 100
         return
     with pytest.raises(FindingsError) as caught:
-        decode_config(tree, held)
+        decode_config(tree, decoded)
     assert caught.value.findings[0].code is code
 
 
 @settings(max_examples=100, deadline=None, derandomize=True)
 @given(data=st.data())
-def test_a_delta_leads_from_any_slice_to_any_other(data):
+def test_delta_from_any_slice_gives_the_needed_slice_of_the_new_version(data):
     trees = []
     for number in (1, 2):
         names = data.draw(st.lists(st.sampled_from("abcd"), min_size=1, unique=True))
@@ -268,15 +268,15 @@
     held = base.slice(needed_groups(base, False, service))
     needed = needed_groups(tree, False, service)
     push = tree.delta_push(needed, base, set(held.contents))
-    got = ConfigTree.from_push(push, [held])
-    assert (got.version, set(got.contents)) == (tree.version, needed)
+    received = ConfigTree.from_push(push, [held])
+    assert (received.version, set(received.contents)) == (tree.version, needed)
     with pytest.raises(LanedockError):
         ConfigTree.from_push(push, [tree])
 
 
 @settings(max_examples=200, deadline=None, derandomize=True)
 @given(st.binary(max_size=100), st.binary(max_size=40))
-def test_any_push_gives_a_version_or_a_coded_error(groups, digest):
+def test_push_of_random_bytes_raises_an_error_with_a_code(groups, digest):
     with pytest.raises(LanedockError):
         ConfigTree.from_push(messages.ConfigPush(version=1, digest=digest, groups=groups), [])
 
@@ -290,12 +290,12 @@
 
 @settings(max_examples=200, deadline=None, derandomize=True)
 @given(path=st.sampled_from(["zones", "services", "routes/0", "routes/0/methods", "services/1", "version"]), new=JSON)
-def test_any_value_is_accepted_or_found(path, new):
-    _findings(_changed(path, new))
+def test_any_value_is_accepted_or_gives_findings(path, new):
+    _find_errors(_change_value(path, new))
 
 
-def test_differences_are_paired_by_name():
-    after = _changed("routes/0/deadline_ms", 5)
+def test_compare_matches_items_by_name():
+    after = _change_value("routes/0/deadline_ms", 5)
     del after["services"][2]
     after["services"].append({"name": "four", "zones": ["z1"]})
     after["services"].reverse()
@@ -307,7 +307,7 @@
     }
 
 
-def test_a_comment_keeps_places():
+def test_comment_does_not_change_the_positions_of_findings():
     with pytest.raises(FindingsError) as caught:
         check_document(read_text('// a comment\n{"mesh": "m",\n "version": 0}', "f"))
     assert [finding.place.line for finding in caught.value.findings][-1] == 3
--- a/packages/lanedock/lanedock/findings/tests/test_jsonc.py
+++ b/packages/lanedock/lanedock/findings/tests/test_jsonc.py
@@ -1,5 +1,5 @@
 # SPDX-License-Identifier: BSD-3-Clause
-"""Tests of JSON with comments."""
+"""Tests of the parser for JSON with comments."""
 
 import pytest
 from hypothesis import given, settings
@@ -9,7 +9,7 @@
 from lanedock.findings import FindingsError, read_text
 
 
-def test_comments_are_blanked_out_in_place():
+def test_comments_and_trailing_commas_do_not_change_positions():
     document = read_text('{ // one\n  /* two\n */ "a": "// no comment", "b": [1, 2,],\n}', "f")
     assert document.value == {"a": "// no comment", "b": [1, 2]}
     place = document.place("/b/1")
@@ -27,7 +27,7 @@
         ("", ErrorCode.NOT_JSON, 1, 1),
     ],
 )
-def test_bad_text_is_found_with_its_place(text, code, line, column):
+def test_invalid_text_gives_a_finding_with_its_position(text, code, line, column):
     with pytest.raises(FindingsError) as caught:
         read_text(text, "f")
     (finding,) = caught.value.findings
@@ -36,7 +36,7 @@
 
 @settings(max_examples=300, deadline=None, derandomize=True)
 @given(st.text(alphabet='{}[]",:/*\n\\ 1ae', max_size=60))
-def test_any_text_gives_a_value_or_findings(text):
+def test_any_text_is_parsed_or_raises_findings_error(text):
     try:
         read_text(text, "f")
     except FindingsError as exc:
--- a/packages/lanedock/lanedock/telemetry/tests/test_log.py
+++ b/packages/lanedock/lanedock/telemetry/tests/test_log.py
@@ -1,5 +1,5 @@
 # SPDX-License-Identifier: BSD-3-Clause
-"""Tests of the log: it never waits for a reader, is bounded, and keeps failures."""
+"""Tests of the event log, which never blocks, is rate-limited and keeps failed requests, and of the metrics."""
 
 import json
 import logging
@@ -21,8 +21,8 @@
     return [json.loads(line) for line in data.splitlines()]
 
 
-def _with_pipe(body) -> list[dict]:
-    """Log into a pipe that nobody reads meanwhile; returns what came out of it."""
+def _log_to_pipe(body) -> list[dict]:
+    """Call `body` with logging to a pipe that is read only afterwards; return the lines that were written."""
     reader, writer = os.pipe()
     root = logging.getLogger()
     before = (list(root.handlers), root.level)
@@ -38,19 +38,19 @@
         os.close(writer)
 
 
-def test_a_reader_that_does_not_read_holds_nobody_up():
+def test_logging_to_a_pipe_that_is_not_read_drops_lines_instead_of_blocking():
     def fill(handler: LineWriter) -> None:
         events = EventLogger("p", 10**9)
         for number in range(20 * MAX_PENDING_LINES):
             events.emit(Event.ANSWER_LOST, number=number, error="x" * 200)
         assert handler.left_out > 0
 
-    lines = _with_pipe(fill)
-    # Whole lines, the oldest and the newest, and not all of them.
+    lines = _log_to_pipe(fill)
+    # `_read` parses every line, so none is torn; the pipe and the buffer are too small for all of them.
     assert 0 < len(lines) < 20 * MAX_PENDING_LINES
 
 
-def test_a_flood_of_an_event_is_cut_and_says_so():
+def test_lines_beyond_the_rate_limit_are_dropped_and_reported():
     def flood(handler: LineWriter) -> None:
         events = EventLogger("p", 5)
         events._second = -1
@@ -59,27 +59,27 @@
         events._second = -1
         events.emit(Event.STARTED)
 
-    lines = _with_pipe(flood)
+    lines = _log_to_pipe(flood)
     assert sum(line["event"] == "E304" for line in lines) <= 10
     (limited,) = [line for line in lines if line["event"] == "E110"]
     assert limited["limited"] == "IN_FORCE" and limited["left_out"] >= 90
 
 
-def test_of_requests_the_failed_are_all_written_and_others_by_sample():
+def test_all_failed_requests_and_a_sample_of_the_others_are_logged():
     def log(handler: LineWriter) -> None:
         requests = RequestLogger(EventLogger("p", 10**9), 16)
         for number in range(160):
-            one = requests.begin(f"id-{number}", 0.0)
-            one.note(Event.REQUEST_ROUTED, route="r")
-            requests.end(one, failed=number % 10 == 0)
+            request_log = requests.begin(f"id-{number}", 0.0)
+            request_log.note(Event.REQUEST_ROUTED, route="r")
+            requests.end(request_log, failed=number % 10 == 0)
 
-    lines = _with_pipe(log)
+    lines = _log_to_pipe(log)
     written = {line["request"] for line in lines}
     assert {f"id-{number}" for number in range(0, 160, 10)} <= written
     assert 16 < len(written) < 50
 
 
-def test_metrics_are_text_with_bounded_labels():
+def test_text_metrics_count_label_sets_beyond_the_limit_as_other():
     metrics = TextMetrics()
     for number in range(3 * MAX_LABELS):
         metrics.count(Metric.OUTCOMES, 1, (f"r{number}", "answered"))
