--- a/packages/lanedock/lanedock/config/diff.py
+++ b/packages/lanedock/lanedock/config/diff.py
@@ -15,7 +15,7 @@
     kind : str
         ``added``, ``removed`` or ``changed``.
     path : str
-        ``LIST/NAME/KEY`` for an item of a list, or the key itself.
+        ``LIST/NAME`` of an item, ``LIST/NAME/KEY`` of a key in an item, or a top-level key.
     before, after : object
         The values; None if the item or key is absent.
     """
--- a/packages/lanedock/lanedock/errors.py
+++ b/packages/lanedock/lanedock/errors.py
@@ -102,7 +102,7 @@
     )
     VERSION_UNKNOWN = (
         "LD2010",
-        "No version has this number.",
+        "No known version has this number.",
         "List the versions with `lanedock history`.",
     )
 
--- a/packages/lanedock/lanedock/findings/fields.py
+++ b/packages/lanedock/lanedock/findings/fields.py
@@ -83,7 +83,7 @@
     def text(self, name: str, default: object = _REQUIRED) -> str:
         """Return a string that can be encoded in UTF-8."""
         value = self._get(name, default)
-        return value if _is_text(value) else self._refuse(name, "a text", "")
+        return value if _is_text(value) else self._refuse(name, "a string", "")
 
     def word(self, name: str, known: dict, default: object = _REQUIRED) -> object:
         """Return the value to which `known` maps the field's string."""
@@ -106,7 +106,7 @@
     def number(self, name: str, maximum: float = _MAX_NUMBER, default: object = _REQUIRED) -> float:
         """Return a number from 0 to a maximum."""
         value = self._get(name, default)
-        return value if is_number(value) and 0 <= value <= maximum else self._refuse(name, "a number not below 0", 0)
+        return value if is_number(value) and 0 <= value <= maximum else self._refuse(name, "a number of 0 or more", 0)
 
     def object(self, name: str) -> "FieldReader":
         """Return a reader of a nested object."""
--- a/packages/lanedock/lanedock/telemetry/events.py
+++ b/packages/lanedock/lanedock/telemetry/events.py
@@ -184,7 +184,7 @@
     RIVAL_HEARD = (
         411,
         logging.INFO,
-        "The mesh reports an incarnation of the local application other than the known one; the daemon asks the "
+        "An incarnation of the local application other than the known one was reported; the daemon asks the "
         "application which it is.",
         "None.",
     )
--- a/packages/lanedock/lanedock/telemetry/metrics.py
+++ b/packages/lanedock/lanedock/telemetry/metrics.py
@@ -107,7 +107,7 @@
         """Set a gauge."""
 
     def flush(self) -> None:
-        """Send the measurements recorded since the last call, if the backend sends any."""
+        """Send the recorded measurements, if the backend sends any."""
 
 
 class NullMetrics(Metrics):
