--- a/packages/lanedock-daemon/lanedock_daemon/path/caller.py
+++ b/packages/lanedock-daemon/lanedock_daemon/path/caller.py
@@ -1,5 +1,5 @@
 # SPDX-License-Identifier: BSD-3-Clause
-"""The caller's side of the path: match, choose, send, and retry."""
+"""The caller's side of the request path: routes requests, chooses upstreams, and retries."""
 
 from itertools import count
 from random import Random
@@ -28,54 +28,54 @@
     write_name,
 )
 from lanedock_daemon.path.http import RETRY_AFTER, Answer, Outcome, ReplayBody, Request, describe_end
-from lanedock_daemon.path.job import Job, Try
+from lanedock_daemon.path.job import AttemptResult, Job
 from lanedock_daemon.path.pool import ConnectionPool
 from lanedock_daemon.path.service import StopTimeout
-from lanedock_daemon.path.tries import Tries
+from lanedock_daemon.path.tries import AttemptSender
 
 __all__ = ["CallerSide"]
 
-# Attempt that is sent for a request that some hop before has sent again.
-RETRIED = 2
-# Bodies up to this many bytes are kept until the answer, to be sent again.
+# Attempt number sent with a request that an earlier hop has already retried.
+RETRIED_ATTEMPT = 2
+# Bodies up to this many bytes are kept until the answer comes, so that they can be sent again.
 REPLAY_LIMIT = 64 * 1024
-# Daemons that may refuse a request unseen by an application, for each attempt
-# that an application may see.
-REFUSALS_PER_ATTEMPT = 2
-# Upstreams that may refuse a request for the rate that they advertise: it says nothing of the
-# others, and the caller hears of each limit once.
-MAX_RATE_LIMITED = 4
-# Upstreams that may refuse a request for their load. Two chosen as the less loaded
-# ones say that the others are full, too; more tries only add to the load. What
-# is retried has met such refusals already.
+# Attempts of any kind, except those refused for a rate limit, for each attempt that a route
+# allows to reach an application.
+ATTEMPTS_PER_ARRIVAL = 2
+# Upstreams that may refuse a request because of their advertised rate limits. Such a refusal
+# says nothing about other upstreams, and each one tells this daemon the limit only once.
+MAX_RATE_LIMIT_REFUSALS = 4
+# Upstreams that may refuse a request because of their load. When two upstreams chosen for their
+# low load refuse, the others are most likely full, too, and more attempts only add to the load.
+# A request that the caller retries has met such refusals before.
 MAX_OVERLOADS = 2
 MAX_OVERLOADS_RETRIED = 1
 
 
 class _Progress:
-    """What the tries of one request have come to so far.
+    """Outcome of the attempts at one request so far.
 
     Parameters
     ----------
     route : Route
     max_overloads : int
-        Upstreams that may refuse it for their load.
+        Number of upstreams that may refuse the request because of their load.
 
     Attributes
     ----------
     failure : Answer or None
-        The answer to give if no other try succeeds.
+        Answer to return if no other attempt succeeds.
     arrivals : int
-        Applications that may have seen the request.
+        Number of applications that may have received the request.
     """
 
     __slots__ = (
+        "_attempts_left",
         "_max_arrivals",
         "_max_overloads",
         "_may_have_run",
-        "_overloads",
-        "_rate_limited",
-        "_tries_left",
+        "_overload_refusals",
+        "_rate_limit_refusals",
         "arrivals",
         "failure",
     )
@@ -84,39 +84,43 @@
         self.failure: Answer | None = None
         self.arrivals = 0
         self._may_have_run = False
-        self._overloads = 0
-        self._rate_limited = 0
-        self._tries_left = route.max_attempts * REFUSALS_PER_ATTEMPT
+        self._overload_refusals = 0
+        self._rate_limit_refusals = 0
+        self._attempts_left = route.max_attempts * ATTEMPTS_PER_ARRIVAL
         self._max_arrivals = route.max_attempts
         self._max_overloads = max_overloads
 
-    def take(self, made: Try) -> None:
-        """Note a try that is not final."""
-        self._may_have_run = self._may_have_run or made.may_have_run
-        # What was refused unseen must not hide that a try before may have run.
-        if self.failure is None or made.may_have_run or not self._may_have_run:
-            self.failure = made.answer
-        self.arrivals += made.arrivals
-        self._overloads += made.code is ErrorCode.OVERLOADED
-        if made.code is ErrorCode.RATE_LIMITED:
-            self._rate_limited += 1
+    def add(self, result: AttemptResult) -> None:
+        """Record the result of an attempt that is not final."""
+        self._may_have_run = self._may_have_run or result.may_have_run
+        # A refusal before the application got the request must not hide that an earlier
+        # attempt may have run.
+        if self.failure is None or result.may_have_run or not self._may_have_run:
+            self.failure = result.answer
+        self.arrivals += result.arrivals
+        self._overload_refusals += result.code is ErrorCode.OVERLOADED
+        if result.code is ErrorCode.RATE_LIMITED:
+            self._rate_limit_refusals += 1
         else:
-            self._tries_left -= 1
+            self._attempts_left -= 1
 
-    def settle(self, made: Try) -> Answer:
-        """Return the answer where a try is final: a refusal says nothing of a try before that may have run."""
-        is_refusal = made.code is not None
-        return self.failure if is_refusal and self._may_have_run else made.answer
+    def choose_answer(self, result: AttemptResult) -> Answer:
+        """Return the answer to the caller after a final result.
+
+        A final refusal doesn't replace the failure of an earlier attempt that may have run.
+        """
+        is_refusal = result.code is not None
+        return self.failure if is_refusal and self._may_have_run else result.answer
 
     def is_exhausted(self) -> bool:
-        """Tell whether no further try is allowed, or promises anything."""
-        if self._tries_left <= 0 or self._rate_limited >= MAX_RATE_LIMITED:
+        """Tell whether another attempt is not allowed or unlikely to succeed."""
+        if self._attempts_left <= 0 or self._rate_limit_refusals >= MAX_RATE_LIMIT_REFUSALS:
             return True
-        return self.arrivals >= self._max_arrivals or self._overloads >= self._max_overloads
+        return self.arrivals >= self._max_arrivals or self._overload_refusals >= self._max_overloads
 
 
 class CallerSide:
-    """Leads callers' requests to upstreams.
+    """Sends callers' requests to upstreams.
 
     Parameters
     ----------
@@ -127,11 +131,11 @@
     tracer : Tracer
     dialect : Dialect, optional
     rng : random.Random, optional
-        Divides the requests of routes that are split.
+        Chooses the service for each request of a route that is split between services.
     requests : RequestLogger, optional
-        Writes the decisions on requests.
+        Logs the decisions on single requests.
     plan : StopPlan, optional
-        Of the process.
+        Stop plan of the process.
     """
 
     def __init__(
@@ -152,12 +156,12 @@
         self._metrics = metrics
         self._tracer = tracer
         self._dialect = dialect or OwnDialect()
-        self._tries = Tries(pool, self._dialect, events, metrics, view.quarantine)
+        self._attempts = AttemptSender(pool, self._dialect, events, metrics, view.quarantine)
         self._rng = rng or Random()
         self._ages = FirstAttempts()
 
     def handle(self, request: Request) -> Answer:
-        """Answer a request."""
+        """Send a caller's request to an upstream, and return the answer."""
         self._metrics.count(Metric.REQUESTS)
         started = monotonic()
         span = self._tracer.start(f"{request.method} caller", request.header(TRACE_HEADER))
@@ -175,7 +179,7 @@
         self._metrics.time(Metric.LATENCY, taken)
         span.end(**{"http.status_code": answer.status, "http.target": request.path})
         outcome = _outcome(answer)
-        self._requests.totals.note("caller", log.route, _describe(answer, taken, log), taken)
+        self._requests.totals.note("caller", log.route, _classify_end(answer, taken, log), taken)
         log.note(Event.REQUEST_ANSWERED, outcome=outcome, status=answer.status, code=_header(answer, CODE_HEADER))
         self._metrics.count(Metric.OUTCOMES, 1, (log.route, outcome))
         self._requests.end(log, answer.status >= 400)
@@ -218,11 +222,15 @@
         job = self._make_job(request, binding, route, headers, started + deadline_ms / 1000, age / 1000, log)
         job.is_suspect = suspect is not None
         max_overloads = MAX_OVERLOADS_RETRIED if age else MAX_OVERLOADS
-        # A retry that a hop before has made must not be multiplied here.
+        # An earlier hop already retries this request; retries here, too, would multiply the load.
         return self._send(job, _Progress(route, max_overloads), may_retry=not facts.was_retried)
 
     def _find_suspect(self, request: Request, facts: RequestFacts) -> Fingerprint | None:
-        """Return what a request is suspected under; None where it isn't, or its body has yet to show it."""
+        """Return the fingerprint of a request that is suspected of crashes.
+
+        Returns None for a request that isn't suspected, and for one with a body, because the
+        fingerprint includes the body, which has not been read yet.
+        """
         if not self._view.quarantine.size or request.body.length != 0:
             return None
         fingerprint = RequestHasher(request.method, request.host, request.target, facts.customer).fingerprint()
@@ -232,16 +240,16 @@
         self._metrics.count(Metric.NOT_RUN)
         return self._dialect.make_refusal(code, Outcome.NOT_RUN, retry_after, detail)
 
-    def _refuse_late(self, now: float) -> Answer:
-        """Refuse what can't be expected to end before the process does; its caller goes elsewhere.
+    def _refuse_stopping(self, now: float) -> Answer:
+        """Refuse a request that is unlikely to end before this process stops.
 
-        It may come back once callers come here no more.
+        The retry delay lasts until this process no longer takes callers' connections.
         """
         answer = self._refuse(ErrorCode.DRAINING, max(RETRY_AFTER, self._plan.linger_left(now)))
         answer.ends_connection = True
         return answer
 
-    # ------------------------------------------------------------------- tries
+    # ---------------------------------------------------------------- attempts
 
     def _make_job(
         self,
@@ -253,7 +261,10 @@
         age: float,
         log: RequestLog,
     ) -> Job:
-        """Choose a service of the route, and gather what the tries of a request need; times in seconds."""
+        """Choose a service of the route, and collect the state that all attempts need.
+
+        `deadline` is a monotonic time and `age` a duration, both in seconds.
+        """
         service = binding.config.services[choose_service(route, self._rng)]
         headers.append((SERVICE_HEADER, write_name(service.name)))
         now = monotonic()
@@ -265,30 +276,30 @@
         job = Job(request, headers, route, service, balancer, budget, deadline, target_time, log)
         if self._view.canaries.running(service.name) is not None:
             job.goes_to_canary = self._view.canaries.take(service.name)
-            job.is_moved = self._view.canaries.is_whole(service.name)
+            job.prefers_canary = self._view.canaries.is_whole(service.name)
         return job
 
     def _send(self, job: Job, progress: _Progress, may_retry: bool) -> Answer:
-        """Find the answer; where the process ends first, say what is known."""
+        """Return the answer, or an unknown outcome if the process stops first."""
         try:
-            return self._try_in_turn(job, progress, may_retry)
+            return self._attempt_until_final(job, progress, may_retry)
         except StopTimeout:
-            # It was sent: all that knows better has its own answer for this.
+            # The request may have been sent; code that knows that it was not catches StopTimeout itself.
             return self._dialect.make_refusal(ErrorCode.ANSWER_LOST, Outcome.UNKNOWN)
 
-    def _try_in_turn(self, job: Job, progress: _Progress, may_retry: bool) -> Answer:
-        """Try upstreams until one answers, or trying again would be wrong."""
+    def _attempt_until_final(self, job: Job, progress: _Progress, may_retry: bool) -> Answer:
+        """Send a request to one upstream after another until one answers or no further attempt is allowed."""
         route, body = job.route, job.request.body
         for attempt in count(1):
             now = monotonic()
             if now >= job.deadline:
                 return progress.failure or self._refuse(ErrorCode.DEADLINE)
-            # The deadline bounds the time to the answer's head; its body may go on beyond it.
+            # The deadline limits the time until the head of the answer; the body may take longer.
             needed = min(job.balancer.hedge_delay(route.name), job.deadline - now)
             needed += job.balancer.body_late_after(route.name)
             if not self._plan.allows(needed, now):
                 job.log.note(Event.REQUEST_TRY_ENDED, service=job.service.name, reason="the process stops")
-                return progress.failure or self._refuse_late(now)
+                return progress.failure or self._refuse_stopping(now)
             job.start_by = self._plan.start_by(needed)
             stats = job.choose(now)
             if stats is None:
@@ -297,22 +308,25 @@
                 return progress.failure or self._refuse(ErrorCode.NO_UPSTREAM, RETRY_AFTER)
             may_hedge = may_retry and route.repeatable and body.length == 0 and not job.is_suspect
             if may_hedge and progress.arrivals + 1 < route.max_attempts:
-                made = self._tries.send_hedged(job, stats, attempt)
+                result = self._attempts.send_hedged(job, stats, attempt)
             else:
-                made = self._tries.send(job, stats, attempt if may_retry else RETRIED)
-            if made.is_final:
-                return progress.settle(made)
-            progress.take(made)
-            job.is_rate_limited = job.is_rate_limited or made.code is ErrorCode.RATE_LIMITED
+                result = self._attempts.send(job, stats, attempt if may_retry else RETRIED_ATTEMPT)
+            if result.is_final:
+                return progress.choose_answer(result)
+            progress.add(result)
+            job.is_rate_limited = job.is_rate_limited or result.code is ErrorCode.RATE_LIMITED
             if not may_retry or not body.can_rewind or progress.is_exhausted():
                 return progress.failure
-            if not self._may_send_again(job, bool(made.arrivals)):
+            if not self._may_send_again(job, bool(result.arrivals)):
                 return progress.failure
             body.rewind()
             self._metrics.count(Metric.RETRIES)
 
     def _may_send_again(self, job: Job, is_charged: bool) -> bool:
-        """Tell whether the budget allows another try; one that no application has seen costs nothing."""
+        """Tell whether the retry budget allows another attempt.
+
+        An attempt that reached no application is not charged to the budget.
+        """
         now = monotonic()
         may_spend = not is_charged or job.budget.spend(now)
         left = job.budget.left(now)
@@ -321,7 +335,7 @@
         return may_spend
 
     def _make_headers(self, request: Request, binding: Binding, route: Route, span: Span) -> list[tuple[str, str]]:
-        """Make the headers that go with every try."""
+        """Make the headers that are sent with every attempt."""
         headers = public_headers(request.headers, self._dialect.request_names)
         headers.append((CLASS_HEADER, write_name(route.traffic_class)))
         headers.append((ROUTE_HEADER, write_name(route.name)))
@@ -338,12 +352,12 @@
 
 
 def _outcome(answer: Answer) -> str:
-    """Return what is known of a request by its answer."""
+    """Return the outcome that an answer states, or "answered" if an application gave the answer."""
     return _header(answer, OUTCOME_HEADER) or "answered"
 
 
-def _describe(answer: Answer, taken: float, log: RequestLog) -> str:
-    """Return how a request ended for its caller, as totals count it."""
+def _classify_end(answer: Answer, taken: float, log: RequestLog) -> str:
+    """Return the kind of end under which the totals count a request."""
     ended = describe_end(answer, "timely" if log.age + taken <= log.target else "late")
     return f"retried_{ended}" if log.age else ended
 
--- a/packages/lanedock-daemon/lanedock_daemon/path/hedges.py
+++ b/packages/lanedock-daemon/lanedock_daemon/path/hedges.py
@@ -1,26 +1,29 @@
 # SPDX-License-Identifier: BSD-3-Clause
-"""Two tries of one request at once: which of them counts, and what becomes of the other."""
+"""Chooses between two concurrent attempts at one request, and discards the other one."""
 
 import gevent
 
 from lanedock_daemon.path.answer_writer import close_pieces
-from lanedock_daemon.path.job import Try
+from lanedock_daemon.path.job import AttemptResult
 
-__all__ = ["drop_unless", "first_of"]
+__all__ = ["choose_result", "close_unless_chosen"]
 
 
-def first_of(first: gevent.Greenlet, second: gevent.Greenlet) -> Try:
-    """Return what became of two tries at once: the first that is final, or the one that says more."""
-    done = gevent.wait([first, second], count=1)[0].get()
-    if not done.is_final:
-        made = (second if first.ready() else first).get()
-        done = made if made.is_final or made.may_have_run else done
-    # Both were sent: what an application may have seen counts twice.
-    done.arrivals = 2
-    return done
+def choose_result(first: gevent.Greenlet, second: gevent.Greenlet) -> AttemptResult:
+    """Return the result of the attempt that ends first with a final result.
 
+    If neither result is final, the one whose request may have run is preferred.
+    """
+    result = gevent.wait([first, second], count=1)[0].get()
+    if not result.is_final:
+        other = (second if first.ready() else first).get()
+        result = other if other.is_final or other.may_have_run else result
+    # Both attempts were sent, so two applications may have received the request.
+    result.arrivals = 2
+    return result
 
-def drop_unless(outcome: Try | BaseException, chosen: Try | None) -> None:
-    """Close the answer that a try has come to, unless it is the chosen one."""
-    if isinstance(outcome, Try) and outcome is not chosen:
+
+def close_unless_chosen(outcome: AttemptResult | BaseException, chosen: AttemptResult | None) -> None:
+    """Close the answer of an attempt, unless the attempt is the chosen one."""
+    if isinstance(outcome, AttemptResult) and outcome is not chosen:
         close_pieces(outcome.answer.pieces)
--- a/packages/lanedock-daemon/lanedock_daemon/path/job.py
+++ b/packages/lanedock-daemon/lanedock_daemon/path/job.py
@@ -1,5 +1,5 @@
 # SPDX-License-Identifier: BSD-3-Clause
-"""What all tries of one request have in common, and what became of each."""
+"""State shared by all attempts at one request, and the result of each attempt."""
 
 from lanedock.canary import Pool
 from lanedock.config import Route, Service
@@ -9,27 +9,28 @@
 from lanedock.telemetry import RequestLog
 from lanedock_daemon.path.http import Answer, Request
 
-__all__ = ["Job", "Try"]
+__all__ = ["AttemptResult", "Job"]
 
 
-class Try:
-    """What became of one try.
+class AttemptResult:
+    """Result of one attempt to send a request to an upstream.
 
     Parameters
     ----------
     answer : Answer
     is_final : bool
-        False where another upstream may be tried.
+        False if another upstream may be tried.
     has_arrived : bool
-        Whether the application may have seen the request.
+        Whether the application may have received the request.
     may_have_run : bool
+        Whether the application may have run the request.
     code : ErrorCode, optional
-        Why the upstream's daemon refused.
+        Reason given by the upstream's daemon if it refused the request.
 
     Attributes
     ----------
     arrivals : int
-        Applications that may have seen the request.
+        Number of applications that may have received the request.
     """
 
     __slots__ = ("answer", "arrivals", "code", "is_final", "may_have_run")
@@ -50,39 +51,43 @@
 
 
 class Job:
-    """What all tries of one request have in common.
+    """State shared by all attempts at one request.
 
     Parameters
     ----------
     request : Request
-        With a body that can be read again, as far as it is short.
+        Its body can be rewound if it is short enough to be kept.
     headers : list of tuple of (str, str)
-        That go with every try.
+        Sent with every attempt.
     route : Route
     service : Service
-        Where the request goes to.
+        Destination of the request.
     balancer : Balancer
-        Of the service.
+        Balancer of the service.
     budget : RetryBudget
-        Towards the service.
+        Retry budget for the service.
     deadline, target_time : float
-        Monotonic, seconds.
+        Monotonic times, in seconds.
     log : RequestLog
 
     Attributes
     ----------
     is_suspect : bool
-        Whether upstreams have ended while they ran it: it isn't sent to two at once.
+        Whether upstreams have crashed while they ran the request. A suspect request is
+        never sent to two upstreams at once.
     start_by : float or None
-        Monotonic, seconds: until when an application may begin on it, where the
-        process stops.
+        Monotonic time, in seconds, by which an application has to start the request
+        because this process is stopping.
     tried : set of str
-        Instances that were tried.
+        Instances to which the request has been sent.
     is_rate_limited : bool
-        Whether an upstream has refused it by the rate that it advertises: it waits for no other's.
-    goes_to_canary, is_moved : bool
-        Whether its first try goes to an upstream of a version under trial; whether all
-        tries do, since the service's traffic is being moved there.
+        Whether an upstream has refused the request because of its advertised rate limit.
+        The request then waits for no other upstream's rate limit.
+    goes_to_canary : bool
+        Whether the first attempt prefers a canary.
+    prefers_canary : bool
+        Whether every attempt prefers a canary, because all traffic of the service is being
+        moved to the new version.
     """
 
     __slots__ = (
@@ -91,10 +96,10 @@
         "deadline",
         "goes_to_canary",
         "headers",
-        "is_moved",
         "is_rate_limited",
         "is_suspect",
         "log",
+        "prefers_canary",
         "request",
         "route",
         "service",
@@ -129,25 +134,31 @@
         self.start_by: float | None = None
         self.tried: set[str] = set()
         self.goes_to_canary = False
-        self.is_moved = False
+        self.prefers_canary = False
 
     def choose(self, now: float, may_wait: bool = True) -> UpstreamStats | None:
-        """Choose an upstream that was not tried yet, and note it as tried; None where there is none.
+        """Choose an upstream that has not been tried yet, and add it to `tried`.
 
         Parameters
         ----------
         now : float
-            Monotonic, seconds.
+            Monotonic time, in seconds.
         may_wait : bool
             See `Balancer.choose`.
+
+        Returns
+        -------
+        UpstreamStats or None
+            None if no upstream is left.
         """
         may_wait = may_wait and not self.is_rate_limited
-        # Routes with long bodies, either way, are most of the bytes that go between
-        # zones where there are any: uploads of 60 kB on average and answers of 90 kB.
+        # Where a service has routes with long request or response bodies, they make up most of
+        # the bytes sent between availability zones: on average, such uploads have 60 kB and
+        # such responses 90 kB.
         is_long = self.route.upload or self.route.download or self.request.body.is_long
         tried = frozenset(self.tried)
         stats = None
-        if self.is_moved or (self.goes_to_canary and not tried):
+        if self.prefers_canary or (self.goes_to_canary and not tried):
             stats = self.balancer.choose(self.service.slots, now, tried, is_long, Pool.CANARY, may_wait=False)
         if stats is None:
             stats = self.balancer.choose(self.service.slots, now, tried, is_long, may_wait=may_wait)
--- a/packages/lanedock-daemon/lanedock_daemon/path/tries.py
+++ b/packages/lanedock-daemon/lanedock_daemon/path/tries.py
@@ -1,5 +1,5 @@
 # SPDX-License-Identifier: BSD-3-Clause
-"""One try of a request at one upstream: what is sent, and what its end shows."""
+"""Single attempts to send a request to an upstream, and the interpretation of their results."""
 
 import gevent
 
@@ -30,27 +30,28 @@
     public_headers,
     read_int,
 )
-from lanedock_daemon.path.hedges import drop_unless, first_of
+from lanedock_daemon.path.hedges import choose_result, close_unless_chosen
 from lanedock_daemon.path.http import RETRY_AFTER, Answer, Leaving, Outcome, Request
-from lanedock_daemon.path.job import Job, Try
+from lanedock_daemon.path.job import AttemptResult, Job
 from lanedock_daemon.path.parser import MalformedMessage, Message
 from lanedock_daemon.path.pool import ConnectionPool, ExchangeError
 from lanedock_daemon.path.prober import UpstreamProber
 from lanedock_daemon.path.suspicions import read_suspicions
 
-__all__ = ["Tries"]
+__all__ = ["AttemptSender"]
 
-# Answers up to this many bytes are read whole before they are passed on, so
-# that one that breaks off can still be asked for elsewhere.
+# Answers up to this many bytes are read completely before they are passed on, so that the
+# request can still be retried at another upstream if the answer breaks off.
 BUFFER_LIMIT = 64 * 1024
-# Added to what an upstream's daemon is given, so that its refusal arrives
-# before the caller's side gives up on it.
-GRACE = 0.05
-# Upstreams that have ended under a request by which it isn't sent again here. A first end
-# may be anything's; of what ran there, hardly anything but its cause ran beside a second.
-CRASHES_RETRIED = 2
-# Refusals that say nothing against an upstream.
-_NO_FAULTS = (
+# Seconds by which this side waits longer than the deadline given to the upstream's daemon, so
+# that the daemon's refusal arrives before this side gives up.
+REFUSAL_GRACE = 0.05
+# Number of upstream crashes during a request from which on it is not retried here. One crash
+# may have any cause, but of all requests that ran during it, hardly any except the one that
+# caused it runs during a second crash.
+CRASHES_ENDING_RETRIES = 2
+# Refusals that do not count as failures of the upstream.
+_FAULTLESS_REFUSALS = (
     ErrorCode.OVERLOADED,
     ErrorCode.RATE_LIMITED,
     ErrorCode.DRAINING,
@@ -60,8 +61,8 @@
 _DAEMON_HEADERS = HOP_HEADERS | {OUTCOME_HEADER, CODE_HEADER}
 
 
-class Tries:
-    """Sends requests to upstreams.
+class AttemptSender:
+    """Makes single attempts at requests: sends each to one upstream, or to two when hedging.
 
     Parameters
     ----------
@@ -70,7 +71,7 @@
     events : EventLogger
     metrics : Metrics
     quarantine : Quarantine
-        Learns which upstreams have ended under a request.
+        Records the upstream crashes that upstreams' daemons report with their answers.
     """
 
     def __init__(
@@ -83,65 +84,67 @@
         self._metrics = metrics
         self._prober = UpstreamProber(pool, events)
 
-    def send_hedged(self, job: Job, stats: UpstreamStats, attempt: int) -> Try:
-        """Send a request, and hedge it by sending it elsewhere, too, where its answer is later than nearly all others.
+    def send_hedged(self, job: Job, stats: UpstreamStats, attempt: int) -> AttemptResult:
+        """Send a request, and send it to a second upstream if the answer is later than nearly all others.
 
-        Whichever answers first counts; the other one is cancelled.
+        The first final result counts; the other attempt is cancelled.
         """
         started = monotonic()
-        pending = self._begin(job, stats, attempt, started)
-        if isinstance(pending, Try):
+        pending = self._begin_attempt(job, stats, attempt, started)
+        if isinstance(pending, AttemptResult):
             return pending
         hedge_delay = started + job.balancer.hedge_delay(job.route.name) - monotonic()
-        if self._is_answering(job, stats, pending, hedge_delay) or monotonic() >= job.deadline:
-            return self._end(job, stats, pending, started)
+        if self._wait_for_answer(job, stats, pending, hedge_delay) or monotonic() >= job.deadline:
+            return self._finish_attempt(job, stats, pending, started)
         pending.note_late(started, self._events, stats.endpoint.instance)
-        first = second = made = None
+        first = second = result = None
         try:
-            first = gevent.spawn(self._end, job, stats, pending, started)
+            first = gevent.spawn(self._finish_attempt, job, stats, pending, started)
             now = monotonic()
             other = job.choose(now, may_wait=False) if job.budget.left(now) >= 1 else None
             if other is None:
-                made = first.get()
-                return made
+                result = first.get()
+                return result
             job.budget.spend(now)
             job.log.note(Event.REQUEST_SENT_AGAIN, sent=True, reason="late", budget=round(job.budget.left(now), 1))
             self._metrics.count(Metric.RETRIES)
             second = gevent.spawn(self.send, job, other, attempt + 1)
-            made = first_of(first, second)
-            return made
+            result = choose_result(first, second)
+            return result
         finally:
             for task in (first, second):
                 if task is not None:
-                    # It may end with an answer before it is killed, as the chosen one did.
-                    task.link_value(lambda ended: drop_unless(ended.value, made))
+                    # The attempt may have ended with an answer, like the chosen one, before it is killed.
+                    task.link_value(lambda ended: close_unless_chosen(ended.value, result))
                     task.kill(block=False)
             if not pending.is_being_read:
-                # The task that was to read it has never run.
+                # The task that should read the answer has never run.
                 pending.close()
                 job.balancer.end(stats, False, monotonic())
 
-    def _is_answering(self, job: Job, stats, pending: PendingAnswer, timeout: float) -> bool:
-        """Wait for an answer's beginning; False where it is late."""
+    def _wait_for_answer(self, job: Job, stats, pending: PendingAnswer, timeout: float) -> bool:
+        """Wait for the first bytes of an answer, and return whether they came within `timeout` seconds."""
         try:
             return pending.wait(timeout)
         except BaseException:
             job.balancer.end(stats, False, monotonic())
             raise
 
-    def send(self, job: Job, stats: UpstreamStats, attempt: int) -> Try:
-        """Send a request to one upstream, and wait for its answer."""
+    def send(self, job: Job, stats: UpstreamStats, attempt: int) -> AttemptResult:
+        """Send a request to one upstream, and return the result."""
         started = monotonic()
-        pending = self._begin(job, stats, attempt, started)
-        if isinstance(pending, Try):
+        pending = self._begin_attempt(job, stats, attempt, started)
+        if isinstance(pending, AttemptResult):
             return pending
         timeout = started + job.balancer.hedge_delay(job.route.name) - monotonic()
-        if not self._is_answering(job, stats, pending, min(timeout, job.deadline - monotonic())):
+        if not self._wait_for_answer(job, stats, pending, min(timeout, job.deadline - monotonic())):
             pending.note_late(started, self._events, stats.endpoint.instance)
-        return self._end(job, stats, pending, started)
+        return self._finish_attempt(job, stats, pending, started)
 
-    def _begin(self, job: Job, stats: UpstreamStats, attempt: int, started: float) -> PendingAnswer | Try:
-        """Send a request to one upstream; a `Try` where it could not be sent."""
+    def _begin_attempt(
+        self, job: Job, stats: UpstreamStats, attempt: int, started: float
+    ) -> PendingAnswer | AttemptResult:
+        """Send a request to one upstream; return an `AttemptResult` instead if that fails."""
         request, balancer = job.request, job.balancer
         left = job.deadline - started
         sent = [
@@ -178,21 +181,21 @@
             )
         balancer.begin(stats, started)
         try:
-            return send_request(self._pool, stats.address, request, sent, job.deadline + GRACE, consent)
+            return send_request(self._pool, stats.address, request, sent, job.deadline + REFUSAL_GRACE, consent)
         except ExchangeError as exc:
             return self._on_failed(job, stats, exc)
         except BaseException:
             balancer.end(stats, False, monotonic())
             raise
 
-    def _on_failed(self, job: Job, stats, exc: ExchangeError) -> Try:
-        """No answer has come to a try."""
+    def _on_failed(self, job: Job, stats, exc: ExchangeError) -> AttemptResult:
+        """Record an attempt that got no answer, and return its result."""
         self._note_end(job.balancer, stats, failed=not exc.is_body_late, unreachable=exc.is_unreachable)
         self._note_try(job, stats, exc.outcome, exc.code)
         return self._on_lost(exc, stats, job.route, job.request)
 
-    def _end(self, job: Job, stats, pending: PendingAnswer, started: float) -> Try:
-        """Wait for the answer of a try."""
+    def _finish_attempt(self, job: Job, stats, pending: PendingAnswer, started: float) -> AttemptResult:
+        """Wait for the answer to an attempt, and return the result."""
         route, balancer = job.route, job.balancer
         try:
             response = pending.read()
@@ -214,18 +217,20 @@
             return self._on_refused(response, balancer, stats, load)
         is_lost = outcome == Outcome.UNKNOWN
         if (is_lost or head.status == 503) and route.repeatable:
-            # Noted first: reading may end with the caller's going away.
+            # Recorded before the body is read, because the caller may disconnect during the read.
             self._note_end(balancer, stats, failed=True, load=load)
             self._note_try(job, stats, Outcome.UNKNOWN, ErrorCode.find(head.header(CODE_HEADER)), head.status)
             body = self._read_refusal(response)
-            answer = Answer(head.status, head.reason, _strip(head), [body or b""])
+            answer = Answer(head.status, head.reason, _strip_daemon_headers(head), [body or b""])
             if is_lost or body is None:
-                answer = self._make_unknown(ErrorCode.find(head.header(CODE_HEADER)) or ErrorCode.ANSWER_LOST, "")
-            return Try(answer, self._note_crashes(head) >= CRASHES_RETRIED, may_have_run=True)
+                answer = self._make_unknown_outcome(
+                    ErrorCode.find(head.header(CODE_HEADER)) or ErrorCode.ANSWER_LOST, ""
+                )
+            return AttemptResult(answer, self._note_crashes(head) >= CRASHES_ENDING_RETRIES, may_have_run=True)
         return self._pass_answer(response, job, stats, load, is_lost, started)
 
     def _note_crashes(self, head: Message) -> int:
-        """Learn of the upstreams that have ended under a request; returns how many have."""
+        """Record the crashes that an answer reports, and return how many are known for its request."""
         suspicions = read_suspicions(head)
         if not suspicions:
             return 0
@@ -233,7 +238,7 @@
         return self._quarantine.count(Fingerprint(suspicions[0].head, suspicions[0].whole))
 
     def _note_try(self, job: Job, stats, outcome: str, code: ErrorCode | None, status: int = 0) -> None:
-        """Note a try whose answer does not stand."""
+        """Log and count an attempt whose answer is not passed on."""
         job.log.note(
             Event.REQUEST_TRY_ENDED,
             upstream=stats.endpoint.instance,
@@ -244,14 +249,14 @@
         )
         self._metrics.count(Metric.TRIES, 1, (stats.endpoint.service, outcome))
 
-    def _make_unknown(self, code: ErrorCode, detail: str) -> Answer:
+    def _make_unknown_outcome(self, code: ErrorCode, detail: str) -> Answer:
         return self._dialect.make_refusal(code, Outcome.UNKNOWN, 0.0, detail)
 
-    def _on_lost(self, exc: ExchangeError, stats, route: Route, request: Request) -> Try:
+    def _on_lost(self, exc: ExchangeError, stats, route: Route, request: Request) -> AttemptResult:
         if exc.outcome == Outcome.NOT_RUN:
             wait = 0.0 if exc.code is ErrorCode.DEADLINE else RETRY_AFTER
             answer = self._dialect.make_refusal(exc.code, Outcome.NOT_RUN, wait, str(exc))
-            return Try(answer, False, has_arrived=False)
+            return AttemptResult(answer, False, has_arrived=False)
         self._metrics.count(Metric.UNKNOWN)
         self._events.emit(
             Event.ANSWER_LOST,
@@ -260,18 +265,18 @@
             target=request.path,
             error=exc,
         )
-        answer = self._make_unknown(exc.code, str(exc))
-        return Try(answer, not route.repeatable, may_have_run=True)
+        answer = self._make_unknown_outcome(exc.code, str(exc))
+        return AttemptResult(answer, not route.repeatable, may_have_run=True)
 
-    def _on_refused(self, response, balancer, stats, load) -> Try:
-        """The upstream's daemon refused: the request has not run."""
+    def _on_refused(self, response, balancer, stats, load) -> AttemptResult:
+        """Handle a refusal by the upstream's daemon; the request has not run."""
         head = response.message
         code = ErrorCode.find(head.header(CODE_HEADER)) or ErrorCode.OVERLOADED
-        is_fault = code not in _NO_FAULTS
+        is_fault = code not in _FAULTLESS_REFUSALS
         self._note_end(balancer, stats, failed=is_fault, load=load)
         if code is ErrorCode.NOT_HELD:
-            # The address was reassigned, or another incarnation of the application
-            # is there: the mesh learns of it soon.
+            # The address was reassigned, or another incarnation of the application uses it;
+            # the mesh's view doesn't show that yet, but will soon.
             balancer.note_leaving(stats)
         self._metrics.count(Metric.NOT_RUN)
         self._read_refusal(response)
@@ -279,7 +284,7 @@
         wait = wait_ms / 1000 if wait_ms is not None else RETRY_AFTER
         answer = self._dialect.make_refusal(code, Outcome.NOT_RUN, 0.0 if code is ErrorCode.DEADLINE else wait)
         is_final = code in (ErrorCode.DEADLINE, ErrorCode.QUARANTINED)
-        return Try(answer, is_final, bool(head.header(ARRIVED_HEADER)), code=code)
+        return AttemptResult(answer, is_final, bool(head.header(ARRIVED_HEADER)), code=code)
 
     def _note_end(
         self,
@@ -306,7 +311,10 @@
                 gevent.spawn(self._prober.run, balancer, stats)
 
     def _read_refusal(self, response: UpstreamAnswer) -> bytes | None:
-        """Read a refusal's short body; None where it breaks off: of a daemon's own the head says enough."""
+        """Read the short body of a refusal; return None if it breaks off.
+
+        For a refusal by a daemon the head is enough.
+        """
         try:
             return response.read_all()
         except (OSError, MalformedMessage):
@@ -314,11 +322,12 @@
         finally:
             response.close()
 
-    def _pass_answer(self, response, job: Job, stats, load, is_lost: bool, started: float) -> Try:
-        """Pass an answer on: a short one once it is whole, a long one as it comes.
+    def _pass_answer(self, response, job: Job, stats, load, is_lost: bool, started: float) -> AttemptResult:
+        """Pass an answer on: a short one when it is complete, a long one as it comes.
 
-        One that is neither whole nor long by the deadline is unknown: begun then, it would
-        end later still, and its caller would be held past the time that the route allows.
+        If an answer is not complete by the deadline and at most `BUFFER_LIMIT` bytes of it have
+        come, the outcome is unknown. Passing it on from then would hold the caller past the
+        time that the route allows.
         """
         head = response.message
         route, balancer = job.route, job.balancer
@@ -329,7 +338,7 @@
             self._note_end(balancer, stats, failed=True, load=load)
             self._note_try(job, stats, Outcome.UNKNOWN, code)
             self._read_refusal(response)
-            return Try(self._make_unknown(code, ""), True, may_have_run=True)
+            return AttemptResult(self._make_unknown_outcome(code, ""), True, may_have_run=True)
         failed = head.status >= 500
         self._metrics.count(Metric.TRIES, 1, (stats.endpoint.service, "failed" if failed else "answered"))
         pieces: list[bytes] = []
@@ -339,32 +348,34 @@
                 pieces = response.read_some(BUFFER_LIMIT)
             except (OSError, MalformedMessage) as exc:
                 response.close()
-                # A late one is not the upstream's fault: it answered in time, and links may be narrow.
+                # A late body is not the upstream's fault: its head came in time, and the link may be slow.
                 is_late = monotonic() >= job.deadline
                 code = ErrorCode.ANSWER_TIMEOUT if is_late else ErrorCode.ANSWER_LOST
                 self._note_end(
                     balancer, stats, failed or not is_late, load, taken if is_late else None, kind=route.name
                 )
                 self._note_try(job, stats, Outcome.UNKNOWN, code)
-                return Try(self._make_unknown(code, str(exc)), not route.repeatable, True, True)
+                return AttemptResult(self._make_unknown_outcome(code, str(exc)), not route.repeatable, True, True)
             except BaseException:
                 response.close()
                 balancer.end(stats, False, monotonic())
                 raise
             body_taken = monotonic() - started - taken
         if head.is_complete:
-            # A failure that comes at once must not make an upstream look quick.
-            known, body_known = (None, None) if failed else (taken, body_taken)
+            # A quick failure must not make an upstream look fast.
+            known_time, known_body_time = (None, None) if failed else (taken, body_taken)
             self._note_end(
-                balancer, stats, failed=failed, load=load, taken=known, kind=route.name, body_taken=body_known
+                balancer, stats, failed=failed, load=load, taken=known_time, kind=route.name, body_taken=known_body_time
+            )
+            return AttemptResult(
+                Answer(head.status, head.reason, _strip_daemon_headers(head), [*pieces, *head.pieces]), True
             )
-            return Try(Answer(head.status, head.reason, _strip(head), [*pieces, *head.pieces]), True)
 
         def end(broke_off: bool) -> None:
             if broke_off:
                 self._events.emit(Event.ANSWER_LOST, upstream=stats.endpoint.instance)
             is_whole = head.is_complete and not (failed or broke_off)
-            body_known = monotonic() - started - taken if is_whole else None
+            known_body_time = monotonic() - started - taken if is_whole else None
             self._note_end(
                 balancer,
                 stats,
@@ -372,13 +383,13 @@
                 load=load,
                 taken=taken,
                 kind=route.name,
-                body_taken=body_known,
+                body_taken=known_body_time,
             )
 
         rest = AnswerPieces(response, end, pieces, job.deadline - started)
-        return Try(Answer(head.status, head.reason, _strip(head), rest), True)
+        return AttemptResult(Answer(head.status, head.reason, _strip_daemon_headers(head), rest), True)
 
 
-def _strip(head: Message) -> list[tuple[str, str]]:
-    """Return an answer's headers without those between daemons or of one connection."""
+def _strip_daemon_headers(head: Message) -> list[tuple[str, str]]:
+    """Return the headers of an answer without daemon-to-daemon and hop-by-hop headers."""
     return public_headers(head.headers, _DAEMON_HEADERS)
