--- a/packages/lanedock-daemon/lanedock_daemon/path/body_gate.py
+++ b/packages/lanedock-daemon/lanedock_daemon/path/body_gate.py
@@ -1,5 +1,5 @@
 # SPDX-License-Identifier: BSD-3-Clause
-"""Holds requests until their bodies may come over the daemon's link."""
+"""Delays requests until the daemon's link has capacity for their bodies."""
 
 from gevent.event import Event as Signal
 
@@ -13,21 +13,24 @@
 
 __all__ = ["BodyGate"]
 
-# Bytes of a body that are taken at once before it is passed on: no more than a piece.
-FETCH = 64 * 1024
+# Largest first piece of a body, in bytes, that is read before the request is passed on.
+FIRST_PIECE_SIZE = 64 * 1024
 
 
 class _CountedBody(HeldBody):
-    """A body whose bytes are counted as they are read; reading it asks its sender for it."""
+    """A body whose bytes are counted as they are read.
+
+    The first read requests the body from its sender.
+    """
 
     def __init__(self, body: Body, bodies: BodyAdmission, transfer: BodyTransfer):
         super().__init__(body)
         self.transfer = transfer
-        self.uncounted = body
+        self.wrapped = body
         self._bodies = bodies
 
     def _read_next(self, size: int, deadline: float) -> bytes:
-        piece = self.uncounted.read(size, deadline)
+        piece = self.wrapped.read(size, deadline)
         now = monotonic()
         if piece:
             self._bodies.note(self.transfer, len(piece), now)
@@ -37,17 +40,17 @@
 
 
 class BodyGate:
-    """Lets requests with bodies in, one after the other where the link is narrow.
+    """Admits requests with bodies, one after the other if the link is slow.
 
-    Requests without a body, or with a small one, pass.
+    Requests without a body, or with a small one, pass at once.
 
     Parameters
     ----------
     limiter : SlotLimiter
-        Of the same upstream; knows until when a request may wait.
+        Slot limiter of the same upstream; states until when a request may wait.
     metrics : Metrics
     link_rate : float, optional
-        Of the daemon's link, in bytes a second, where it is known.
+        Rate of the daemon's link, in bytes per second, if known.
     """
 
     def __init__(self, limiter: SlotLimiter, metrics: Metrics, link_rate: float | None = None):
@@ -59,36 +62,36 @@
         return f"<BodyGate {self._bodies!r}>"
 
     def configure(self, queue: int, classes: dict) -> None:
-        """Take over another version's numbers; see `BodyAdmission`."""
+        """Apply the limits of another version; see `BodyAdmission`."""
         self._bodies.configure(queue, classes)
 
     @property
     def waiting(self) -> int:
-        """Requests that wait for the link."""
+        """Number of requests that wait for the link."""
         return self._bodies.waiting
 
     def load(self) -> dict[str, int | None]:
-        """Return what is on its way, for a log line."""
+        """Return the load of the link, as fields of a log line."""
         bodies = self._bodies
         rate = None if bodies.rate is None else round(bodies.rate)
         return {"body_bytes": bodies.outstanding, "bodies_waiting": bodies.waiting, "bytes_per_s": rate}
 
     def enter(self, request: Request, traffic_class: str, wanted: AdmissionRequest) -> Refused | None:
-        """Wait until a request's body may come.
+        """Wait until the link has capacity for a request's body.
 
-        From then on its bytes count, to the end of the body or `leave`.
+        From then on the body counts as load of the link, until its end or `leave`.
 
         Returns
         -------
         Refused or None
-            The body can't come in time, the request would get no slot then, or the
-            process ends.
+            The refusal, if the body can't come in time, the request would get no slot
+            afterwards, or the process stops.
         """
         body = request.body
         if not body.is_asked_for:
             return None
         now = monotonic()
-        # Nobody waits for the link who then gets no slot in time.
+        # A request that would get no slot in time doesn't wait for the link.
         refused = self._limiter.judge(traffic_class, wanted, now)
         if refused is not None:
             return refused
@@ -113,37 +116,41 @@
         return Refused(ErrorCode.OVERLOADED, self._limiter.return_after(wanted, now), "link")
 
     def begin(self, request: Request) -> bool:
-        """Note that a body is asked for now, with a slot at hand; False where it has to `enter` again."""
+        """Record that a request got its slot and that its body is requested now.
+
+        Returns False if the request has to `enter` again, because the link has no capacity left.
+        """
         body = request.body
         if not isinstance(body, _CountedBody):
             return True
         if self._bodies.begin(body.transfer, monotonic()):
-            body.uncounted.pace = body.transfer.pace
+            body.wrapped.pace = body.transfer.pace
             return True
         self.leave(request)
-        request.body = body.uncounted
+        request.body = body.wrapped
         return False
 
     def fetch(self, request: Request, deadline: float) -> None:
-        """Wait until a body that had to be asked for begins to come.
+        """Wait for the first piece of a body that had to be requested.
 
         Parameters
         ----------
         request : Request
         deadline : float
-            Monotonic, seconds.
+            Monotonic time, in seconds.
 
         Raises
         ------
         BodyTimeout
+            If the body doesn't come by the deadline.
         OSError
-            Its sender went away.
+            If the sender disconnects.
         """
         if isinstance(request.body, _CountedBody):
-            request.body.hold_piece(FETCH, deadline)
+            request.body.hold_piece(FIRST_PIECE_SIZE, deadline)
 
     def leave(self, request: Request) -> None:
-        """Note that a request is over: what hasn't come of its body won't."""
+        """Record that a request has ended and the rest of its body won't come."""
         if isinstance(request.body, _CountedBody):
             self._bodies.end(request.body.transfer, monotonic())
             self._metrics.gauge(Metric.BODY_BYTES, self._bodies.outstanding)
--- a/packages/lanedock-daemon/lanedock_daemon/path/canary_account.py
+++ b/packages/lanedock-daemon/lanedock_daemon/path/canary_account.py
@@ -1,5 +1,5 @@
 # SPDX-License-Identifier: BSD-3-Clause
-"""What one request adds to the counts of a canary release, at the upstream's daemon."""
+"""Counts single requests for a canary release, at the upstream's daemon."""
 
 from lanedock.canary import Pool, classify
 from lanedock.membership import UpstreamRegistration
@@ -10,18 +10,19 @@
 
 
 class CanaryAccount:
-    """Counts one request that is passed on to the application, while a canary of its service runs.
+    """Counts one request that is passed on to the application while a canary of its service runs.
 
-    It is counted here and not where it comes from: waits in queues and on links, and upstreams
-    that can't be reached, say nothing of a version.
+    Requests are counted at the upstream's daemon, not at the caller's, because waits in queues and
+    on links, and unreachable upstreams, say nothing about the quality of a version.
 
     Parameters
     ----------
     view : LocalView
     registration : UpstreamRegistration
-        Of the application.
+        Registration of the application.
     metrics : Metrics
     route : str
+        Name of the request's route.
     """
 
     __slots__ = ("_canary", "_counter", "_metrics", "_pool", "_route", "_service")
@@ -35,12 +36,12 @@
         self._canary = view.instance if self._pool is Pool.CANARY else ""
 
     def note_sent(self) -> None:
-        """Note that the request is passed on."""
+        """Count the request as passed on."""
         self._counter.note_sent(self._service, self._route, self._canary)
         self._metrics.count(Metric.CANARY_SENT, 1, (self._service, self._pool.value))
 
     def note_answer(self, failed: bool, taken: float) -> None:
-        """Note the answer, or that none had come after `taken` seconds of work."""
+        """Count the answer, or the lack of one, after `taken` seconds of work."""
         self._counter.note_answer(self._service, self._route, self._canary, failed, taken)
         if failed:
             self._metrics.count(Metric.CANARY_FAILED, 1, (self._service, self._pool.value))
--- a/packages/lanedock-daemon/lanedock_daemon/path/crashes.py
+++ b/packages/lanedock-daemon/lanedock_daemon/path/crashes.py
@@ -1,5 +1,5 @@
 # SPDX-License-Identifier: BSD-3-Clause
-"""Notices that the application beside the daemon has ended, and what ran on it."""
+"""Detects crashes of the daemon's application, and suspects the requests that ran during them."""
 
 import time
 
@@ -15,43 +15,44 @@
 
 __all__ = ["CrashDetector"]
 
-# Waits, in seconds, before each look whether an application has ended. Its connections break
-# at once, but are seen to one after the other, and later where the processor is short; its
-# process closes them, and the one on which it listens, in any order.
-LOOK_WAITS = (0.005, 0.02, 0.05, 0.1)
-# Seconds for which an answer that is lost waits for the first looks: by then nearly all ends
-# are known, and so whether the request may be sent again.
+# Seconds to wait before each check whether an application has ended. Its connections break at
+# once, but the daemon handles them one after the other, and later when short of processor time;
+# an ending process closes its connections and its listening socket in any order.
+CHECK_DELAYS = (0.005, 0.02, 0.05, 0.1)
+# Seconds for which a request with a lost answer waits for the first checks. Nearly all crashes
+# are known by then, which decides whether the request may be sent again.
 ANSWER_WAIT = 0.03
-# Seconds for the connection of a look, over loopback: one that is refused is so at once.
+# Time-out, in seconds, of a check's connection over loopback, where a refusal comes at once.
 CONNECT_TIMEOUT = 0.2
-# Seconds in which further runs of an incarnation are found lost by the same end of it. An
-# application that doesn't report its incarnations takes longer to end again.
-SAME_CRASH = 2.0
-# Suspects that a log line names, 32 signs each; the first come first.
-MAX_NAMED = 8
+# Seconds in which lost runs of one incarnation are attributed to the same crash. An application
+# that doesn't report its incarnations takes longer than this to start and crash again.
+SAME_CRASH_WINDOW = 2.0
+# Largest number of suspects listed in a log line, with 32 characters each.
+MAX_LOGGED_SUSPECTS = 8
 
 
 class CrashDetector:
-    """Tells an application's end from a connection's, and suspects what ran on it.
+    """Tells the crash of an application from a broken connection, and suspects the requests it ran.
 
-    A connection breaks for many reasons. An application that has ended has let go of all its
-    connections, and takes no new ones: both are looked at, since one that is merely full may
-    refuse connections, too. That a request is still in progress shows nothing: while its caller
-    is slow nobody reads from its connection, and an upload or a long answer would hide the end
-    until the application's next start.
+    A connection may break for many reasons. After a crash, all connections of the application are
+    closed and it accepts no new ones. Both are checked, because an overloaded application may
+    refuse connections, too. A request in progress doesn't show that the application still runs:
+    while its caller is slow the daemon doesn't read from its connection, so an upload or a long
+    answer would hide the crash until the application's next start.
 
     Parameters
     ----------
     instance : str
-        The daemon's own.
+        Name of the daemon's own instance.
     application : tuple of (str, int)
+        Host and port of the application.
     pool : ConnectionPool
-        Has made all connections to the application.
+        Pool that makes all connections to the application.
     registration : UpstreamRegistration
-        Of the application.
+        Registration of the application.
     quarantine : Quarantine
     on_news : callable
-        Called without arguments when others have to learn of suspicions.
+        Called without arguments when suspicions have changed that other daemons have to learn.
     events : EventLogger
     metrics : Metrics
     """
@@ -88,18 +89,18 @@
     # -------------------------------------------------------------------- runs
 
     def begin(self, hasher: RequestHasher) -> Run:
-        """Note that a request is passed on to the application."""
+        """Record that a request is passed on to the application."""
         return self._runs.begin(hasher)
 
     def note_refused(self, run: Run) -> None:
-        """Note that the application has refused a request without running it."""
+        """Record that the application has refused a request without running it."""
         self._runs.end(run)
 
     def note_served(self, run: Run) -> None:
-        """Note that the application has answered a request, which so has not ended it."""
+        """Record that the application has answered a request, which clears the request of suspicion."""
         self._runs.end(run)
         if not run.hasher.is_complete:
-            return  # answered before its body was read: it isn't known which request it was
+            return  # answered before its body was read, so its fingerprint isn't known
         fingerprint = run.hasher.fingerprint()
         self._served.note(fingerprint, monotonic())
         if self._quarantine.clear(fingerprint):
@@ -107,50 +108,53 @@
             self._on_news()
 
     def note_abandoned(self, run: Run) -> None:
-        """Note that nobody waits for a run any more, which may go on."""
+        """Record that nobody waits for a run any more; the application may still work on it."""
         self._runs.abandon(run, False, monotonic())
 
     def note_lost(self, run: Run) -> bool:
-        """Note that the connection of a run broke; find out whether the application has ended.
+        """Record that the connection of a run broke, and find out whether the application has crashed.
 
         Returns
         -------
         bool
-            Whether the request is suspected of it. It still has to be reported where its body
-            had not come to its end, see `note_body`.
+            Whether the request is suspected of a crash. If its body has not been read to the
+            end, the request still has to be reported with `report_suspect`.
         """
         now = monotonic()
         self._runs.abandon(run, True, now)
         if not run.crash:
-            self._look()
+            self._wait_for_check()
         return bool(run.crash)
 
-    def note_body(self, run: Run) -> None:
-        """Note that the body of a suspected request has come to its end: only now it is known which one it is."""
+    def report_suspect(self, run: Run) -> None:
+        """Report a suspected request whose body has now been read, which completes its fingerprint."""
         self._report(run.crash, [run.hasher.fingerprint()])
 
     def note_restart(self, former: Incarnation) -> None:
-        """Note that another start of the application has registered, and that the former hadn't left."""
+        """Record that a new incarnation of the application registered although `former` had not left."""
         if former.upstream:
-            self._suspect(former, has_restarted=True)
+            self._suspect_runs(former, has_restarted=True)
 
     # ------------------------------------------------------------------ checks
 
-    def _look(self) -> None:
-        """Find out whether the application has ended; one look serves all whose connections broke."""
+    def _wait_for_check(self) -> None:
+        """Wait for the check whether the application has ended.
+
+        Concurrent lost runs share one check.
+        """
         if self._check is None or self._check.ready():
-            self._check = gevent.spawn(self._find_out)
+            self._check = gevent.spawn(self._check_for_crash)
         try:
             self._check.join(timeout=ANSWER_WAIT)
         except StopTimeout:
-            pass  # the answer goes out now, with what is known
+            pass  # the answer has to be given now, whether or not the check has ended
 
-    def _find_out(self) -> None:
+    def _check_for_crash(self) -> None:
         incarnation = self._registration.incarnation
-        for wait in LOOK_WAITS:
+        for wait in CHECK_DELAYS:
             gevent.sleep(wait)
             if self._has_ended():
-                self._suspect(incarnation, has_restarted=False)
+                self._suspect_runs(incarnation, has_restarted=False)
                 return
 
     def _has_ended(self) -> bool:
@@ -161,20 +165,20 @@
         except ConnectionRefusedError:
             return True
         except OSError:
-            return False  # silent or full: its next start will tell
+            return False  # silent or overloaded; if it has crashed, its next registration shows it
         return False
 
-    def _suspect(self, incarnation: Incarnation, has_restarted: bool) -> None:
-        """Suspect what ran on an application that has ended, but for what it served lately."""
+    def _suspect_runs(self, incarnation: Incarnation, has_restarted: bool) -> None:
+        """Suspect the requests that ran on an application when it crashed."""
         registration = self._registration
         if registration.is_leaving and registration.incarnation == incarnation:
-            return  # it has ended as it was to
+            return  # a planned stop, not a crash
         now = monotonic()
         runs = self._runs.take_suspects(now, has_restarted)
         if not runs:
             return
-        if incarnation != self._crashed or now - self._crashed_at > SAME_CRASH:
-            # By the wall clock: a daemon that is restarted begins anew.
+        if incarnation != self._crashed or now - self._crashed_at > SAME_CRASH_WINDOW:
+            # The wall clock keeps the name unique after a restart of the daemon.
             self._crash = f"{self._instance}/{incarnation.upstream or '-'}/{time.time_ns() // 1_000_000}"
             self._crashed, self._crashed_at = incarnation, now
             self._metrics.count(Metric.CRASHES)
@@ -184,11 +188,12 @@
         self._report(self._crash, list(known), len(runs))
 
     def _report(self, crash: str, fingerprints: list[Fingerprint], running: int = 1) -> None:
+        """Report a crash and its suspects, except requests that have lately been served."""
         now = monotonic()
         suspects = [fingerprint for fingerprint in fingerprints if not self._served.has(fingerprint, now)]
         fresh = self._quarantine.note_crash(crash, suspects, now)
-        named = ",".join(str(fingerprint) for fingerprint in suspects[:MAX_NAMED])
-        self._events.emit(Event.UPSTREAM_CRASHED, crash=crash, running=running, suspects=named)
+        logged = ",".join(str(fingerprint) for fingerprint in suspects[:MAX_LOGGED_SUSPECTS])
+        self._events.emit(Event.UPSTREAM_CRASHED, crash=crash, running=running, suspects=logged)
         for fingerprint in fresh:
             crashes = ",".join(self._quarantine.crashes(fingerprint))
             self._events.emit(Event.REQUEST_QUARANTINED, suspect=fingerprint, crashes=crashes)
--- a/packages/lanedock-daemon/lanedock_daemon/path/slot_gate.py
+++ b/packages/lanedock-daemon/lanedock_daemon/path/slot_gate.py
@@ -1,5 +1,5 @@
 # SPDX-License-Identifier: BSD-3-Clause
-"""Admits requests to an application: room on the daemon's link for the body, and a slot."""
+"""Admits requests to an application: reserves capacity on the daemon's link for the body, and a slot."""
 
 import gevent
 from gevent.event import Event as Signal
@@ -24,25 +24,25 @@
 
 __all__ = ["Slot", "SlotGate"]
 
-# Classes by which an application's slots are shared before a version is held.
+# Traffic classes used until the daemon has a version of the configuration.
 NO_CLASSES: dict = {}
-# Requests that may wait for each slot where the application reports how many it has,
-# or no version does.
+# Queue length per slot, for an application that reports its number of slots or whose service
+# is not configured.
 QUEUE_PER_SLOT = 2
-# Least and longest time between two looks whether a queued request may be admitted, in seconds.
-RATE_POLL = (0.005, 0.5)
+# Shortest and longest interval, in seconds, between checks whether the rate limit lets a request pass.
+RATE_POLL_INTERVALS = (0.005, 0.5)
 
 
 class SlotGate:
-    """The slots of one application, and the bodies on their way to them.
+    """Admits requests to the slots of one application, and their bodies to the daemon's link.
 
     Parameters
     ----------
     registration : UpstreamRegistration
-        Of the application; knows its slots.
+        Registration of the application; states its number of slots.
     metrics : Metrics
     link_rate : float, optional
-        Of the daemon's link, in bytes a second, where it is known.
+        Rate of the daemon's link, in bytes per second, if known.
 
     Attributes
     ----------
@@ -56,23 +56,23 @@
         self._registration = registration
         self._calls = CallKinds()
         self._configured = None
-        self._admitting: gevent.Greenlet | None = None
+        self._rate_admission: gevent.Greenlet | None = None
 
     def __repr__(self) -> str:
         return f"<SlotGate {self.limiter!r}>"
 
     @property
     def in_progress(self) -> int:
-        """Requests in progress or waiting."""
+        """Number of requests in progress or waiting."""
         return self.limiter.in_use + self.limiter.waiting + self.bodies.waiting
 
     def load(self) -> dict[str, int]:
-        """Return the load of the application, for a log line."""
+        """Return the load of the application, as fields of a log line."""
         limiter = self.limiter
         return {"in_use": limiter.in_use, "slots": limiter.slots, "waiting": limiter.waiting, "queue": limiter.queue}
 
     def configure(self, binding: Binding | None) -> None:
-        """Take the limits over from the version in force and the application's own word."""
+        """Apply the limits of the current version and those that the application reports."""
         self.update_rate()
         number = binding.number if binding is not None else 0
         key = (number, self._registration.slots, self._registration.service)
@@ -82,42 +82,48 @@
         service = binding.config.services.get(key[2]) if binding is not None else None
         classes = binding.config.traffic_classes if binding is not None else NO_CLASSES
         slots = self._registration.slots or (service.slots if service else 1)
-        # Each request in progress takes one of the application's connections.
+        # Each request in progress uses one of the application's connections.
         if service is not None:
             slots = min(slots, service.connections)
-        # An application that reports its slots sets the length of its queue by that.
+        # For an application that reports its slots, the queue length follows from their number.
         is_reported = service is None or self._registration.slots
         queue = slots * QUEUE_PER_SLOT if is_reported else service.queue
         self.limiter.configure(slots, queue, classes)
         self.bodies.configure(queue, classes)
 
     def update_rate(self) -> None:
-        """Take over the rate limit that the application advertises."""
+        """Apply the rate limit that the application advertises."""
         self.limiter.rate.configure(self._registration.advertised.rate, monotonic())
 
     def _admit_by_rate(self) -> None:
-        """Admit queued requests as the rate limit allows, until none waits: nothing else ends then."""
-        least, longest = RATE_POLL
+        """Admit queued requests as the rate limit allows, until none waits.
+
+        When the limit lets the next request pass, no request ends that would trigger its admission.
+        """
+        shortest, longest = RATE_POLL_INTERVALS
         while self.limiter.waiting and self.limiter.rate.is_limited:
-            gevent.sleep(min(max(least, self.limiter.rate.wait(monotonic())), longest))
+            gevent.sleep(min(max(shortest, self.limiter.rate.wait(monotonic())), longest))
             self.update_rate()
             self.limiter.admit_queued(monotonic())
 
-    def wait_to_arrive(self, deadline: float) -> bool:
-        """Wait until an admitted request may reach the application; False where it can't by its deadline."""
+    def wait_for_rate(self, deadline: float) -> bool:
+        """Wait until the rate limit lets an admitted request reach the application.
+
+        Returns False if that would take until `deadline` (monotonic, in seconds) or longer.
+        """
         while wait := self.limiter.rate.arrive(monotonic()):
             if monotonic() + wait >= deadline:
                 return False
-            gevent.sleep(min(wait, RATE_POLL[1]))
+            gevent.sleep(min(wait, RATE_POLL_INTERVALS[1]))
         return True
 
     def classify(self, request: Request, binding: Binding | None) -> str:
-        """Return the class that a request is admitted by.
+        """Return the traffic class under which a request is admitted.
 
-        A call is as urgent as the requests for which it is made, where its own route
-        is more urgent than they are: else calls for less urgent requests of another
-        service would go before a shared service's own urgent requests, which want their
-        answers later.
+        A call that an application makes for a request of its own (the parent) is admitted under
+        the parent's class if that is less urgent than the class of the call's route. Otherwise
+        calls for less urgent requests of another service would overtake the urgent requests that
+        a shared service gets itself, whose target times are later.
         """
         own = read_name(request.header(CLASS_HEADER))
         is_own = request.header(CALLER_HEADER) == request.header(SERVICE_HEADER)
@@ -131,11 +137,11 @@
         return parent.name
 
     def reserve(self, request: Request, traffic_class: str, wanted: AdmissionRequest) -> Refused | None:
-        """Take room on the link and a slot, waiting if need be.
+        """Reserve capacity on the link and a slot, waiting for both if necessary.
 
-        The link first: a slot must not be held while other bodies come. The body is asked
-        for with both at hand; where others have come onto the link meanwhile, the slot
-        goes to someone else.
+        Capacity on the link comes first, because a slot must not be held while other bodies are
+        transferred. The body is requested when both are reserved. If other bodies have taken the
+        link meanwhile, the slot is released and the request waits again.
         """
         while True:
             refused = self.bodies.enter(request, traffic_class, wanted) or self._acquire(traffic_class, wanted)
@@ -144,22 +150,22 @@
             self.limiter.release(traffic_class, None, monotonic())
 
     def _acquire(self, traffic_class: str, wanted: AdmissionRequest) -> Refused | None:
-        """Take a slot, waiting for it if need be."""
+        """Acquire a slot, waiting for it if necessary."""
         now = monotonic()
         admitted = Signal()
         result = self.limiter.acquire(traffic_class, wanted, now, admitted.set)
         if result is None or isinstance(result, Refused):
             return result
-        if self.limiter.rate.is_limited and not self._admitting:
-            self._admitting = gevent.spawn(self._admit_by_rate)
+        if self.limiter.rate.is_limited and not self._rate_admission:
+            self._rate_admission = gevent.spawn(self._admit_by_rate)
         try:
             is_admitted = admitted.wait(timeout=result.expires_at - now)
         except StopTimeout:
             self._leave_queue(result, traffic_class)
             return Refused(ErrorCode.DRAINING, RETRY_AFTER)
         except BaseException:
-            # The caller has gone: its place, or the slot it was just given,
-            # must not stay taken.
+            # The caller has disconnected; its place in the queue, or the slot that it has just
+            # been given, must be released.
             self._leave_queue(result, traffic_class)
             raise
         if not result.is_evicted and (is_admitted or not self.limiter.cancel(result)):
@@ -167,35 +173,37 @@
         return self.limiter.refuse(wanted, monotonic())
 
     def _leave_queue(self, queued: QueuedRequest, traffic_class: str) -> None:
-        """Give up a request's place in the queue, or the slot it was just given."""
+        """Release a request's place in the queue, or the slot that it has just been given."""
         if not (queued.is_evicted or self.limiter.cancel(queued)):
             self.limiter.release(traffic_class, None, monotonic())
 
 
 class Slot:
-    """A request's slot, given back once.
+    """The slot of one request; released only once.
 
     Parameters
     ----------
     limiter : SlotLimiter
-    traffic_class, kind : str
-        By which it was admitted, and by which service times are kept.
+    traffic_class : str
+        Class under which the request was admitted.
+    kind : str
+        Kind of request under which the service time is recorded, such as its route's name.
     started : float
-        Monotonic, seconds.
+        Monotonic time, in seconds, at which the application got the request.
     """
 
-    __slots__ = ("_done", "_kind", "_limiter", "_started", "_traffic_class")
+    __slots__ = ("_is_released", "_kind", "_limiter", "_started", "_traffic_class")
 
     def __init__(self, limiter: SlotLimiter, traffic_class: str, kind: str, started: float):
         self._kind = kind
         self._limiter = limiter
         self._traffic_class = traffic_class
         self._started = started
-        self._done = False
+        self._is_released = False
 
     def release(self) -> None:
-        """Give it back."""
-        if not self._done:
-            self._done = True
+        """Release the slot and record the service time; later calls do nothing."""
+        if not self._is_released:
+            self._is_released = True
             now = monotonic()
             self._limiter.release(self._traffic_class, now - self._started, now, self._kind)
--- a/packages/lanedock-daemon/lanedock_daemon/path/suspicions.py
+++ b/packages/lanedock-daemon/lanedock_daemon/path/suspicions.py
@@ -1,5 +1,5 @@
 # SPDX-License-Identifier: BSD-3-Clause
-"""Suspicions on the answers between daemons: the way to learn of them that needs no control instance."""
+"""Headers that report suspicions with answers between daemons, without a control instance."""
 
 from lanedock.quarantine import MAX_CRASHES_KEPT, Fingerprint
 from lanedock.wire import messages
@@ -10,7 +10,7 @@
 
 
 def write_suspicions(fingerprint: Fingerprint, crashes: list[str]) -> list[tuple[str, str]]:
-    """Return the headers by which the crashes are known that a request is suspected of."""
+    """Return the headers that report the crashes of which a request is suspected."""
     return [
         (SUSPECT_HEADER, f"{fingerprint.head.hex()}.{fingerprint.whole.hex()}"),
         (CRASHES_HEADER, ",".join(write_name(crash) for crash in crashes)),
@@ -18,7 +18,7 @@
 
 
 def read_suspicions(head: HeadersByName) -> list[messages.Suspicion]:
-    """Return what `write_suspicions` wrote; none where it can't be read."""
+    """Return the suspicions that `write_suspicions` wrote; an empty list if they can't be read."""
     first, _, whole = head.header(SUSPECT_HEADER).partition(".")
     try:
         digests = bytes.fromhex(first), bytes.fromhex(whole)
--- a/packages/lanedock-daemon/lanedock_daemon/path/upstream.py
+++ b/packages/lanedock-daemon/lanedock_daemon/path/upstream.py
@@ -1,5 +1,5 @@
 # SPDX-License-Identifier: BSD-3-Clause
-"""The upstream's side of the path: the only way into an upstream's application."""
+"""The upstream's side of the request path: every request to an application passes through it."""
 
 import math
 
@@ -56,17 +56,19 @@
 
 __all__ = ["UpstreamSide"]
 
-_SET_HERE = (ATTEMPT_HEADER, DEADLINE_HEADER, TRACE_HEADER)
+# Headers that this side sets anew and therefore doesn't pass on.
+_REPLACED_HEADERS = (ATTEMPT_HEADER, DEADLINE_HEADER, TRACE_HEADER)
 
 
 class UpstreamSide:
-    """Lets requests through to the application, within its limits.
+    """Passes requests on to the application, within its limits.
 
     Parameters
     ----------
     service : str
-        The upstream's.
+        Name of the service that the upstream runs.
     application : tuple of (str, int)
+        Host and port of the application.
     view : LocalView
     pool : ConnectionPool
     events : EventLogger
@@ -74,12 +76,12 @@
     tracer : Tracer
     dialect : Dialect, optional
     requests : RequestLogger, optional
-        Writes the decisions on requests.
+        Logs the decisions on single requests.
     crashes : CrashDetector, optional
     registrar : Registrar, optional
-        Learns what answers state of the application itself.
+        Takes over what answers state about the application itself.
     link_rate : float, optional
-        Of the daemon's link, in bytes a second, where it is known.
+        Rate of the daemon's link, in bytes per second, if known.
     """
 
     def __init__(
@@ -117,11 +119,11 @@
 
     @property
     def in_progress(self) -> int:
-        """Requests in progress or waiting."""
+        """Number of requests in progress or waiting."""
         return self._gate.in_progress
 
     def handle(self, request: Request) -> Answer:
-        """Answer a request that another daemon has sent."""
+        """Answer a request from another daemon."""
         self._metrics.count(Metric.REQUESTS)
         started = monotonic()
         span = self._tracer.start(f"{request.method} upstream", request.header(TRACE_HEADER))
@@ -158,14 +160,14 @@
 
     def _admit(self, request: Request, facts: RequestFacts, span, started: float, log: RequestLog) -> Answer:
         if self._view.is_draining:
-            return self._refuse(ErrorCode.DRAINING, RETRY_AFTER, log, reason="the daemon drains")
-        meant = request.header(UPSTREAM_HEADER)
-        refusal = self._registration.judge(meant)
+            return self._refuse(ErrorCode.DRAINING, RETRY_AFTER, log, reason="the daemon is draining")
+        expected = request.header(UPSTREAM_HEADER)
+        refusal = self._registration.judge(expected)
         if refusal is not None:
-            return self._refuse(refusal, RETRY_AFTER, log, meant=meant, incarnation=self._registration.upstream)
-        known_limit = read_rate(request.header(KNOWN_LIMIT_HEADER)) if meant else None
+            return self._refuse(refusal, RETRY_AFTER, log, meant=expected, incarnation=self._registration.upstream)
+        known_limit = read_rate(request.header(KNOWN_LIMIT_HEADER)) if expected else None
         if known_limit is not None:
-            # This daemon may have been started again, and no answer has come since.
+            # After a restart this daemon doesn't know the limit until the application answers.
             self._registrar.learn_rate(known_limit)
         binding = self._view.bind()
         version = read_int(request.header(VERSION_HEADER))
@@ -173,25 +175,25 @@
             self._view.note_version(version)
         service = read_name(request.header(SERVICE_HEADER))
         if self._registration.upstream:
-            # The application itself has reported what it runs.
-            is_held = service == self._registration.service
+            # The application has reported the service that it runs.
+            is_served_here = service == self._registration.service
         elif binding is None:
             return self._refuse(ErrorCode.NOT_READY, RETRY_AFTER, log, **self._view.age())
         else:
-            is_held = service == self._service and self._service in binding.config.services
-        if not is_held:
+            is_served_here = service == self._service and self._service in binding.config.services
+        if not is_served_here:
             return self._refuse(ErrorCode.NOT_HELD, RETRY_AFTER, log, service=service)
         hasher = RequestHasher(request.method, request.host, request.target, facts.customer, request.body.length)
         if hasher.is_complete and self._is_quarantined(hasher):
             return self._refuse_quarantined(hasher, log)
         self._gate.configure(binding)
-        deadline = _read_time(request, DEADLINE_HEADER, started)
+        deadline = _read_monotonic_time(request, DEADLINE_HEADER, started)
         if deadline is None:
             deadline = started + RETRY_AFTER
         traffic_class = self._gate.classify(request, binding)
-        target_time = _read_time(request, TARGET_HEADER, started)
+        target_time = _read_monotonic_time(request, TARGET_HEADER, started)
         log.route = read_name(request.header(ROUTE_HEADER))
-        start_by = _read_time(request, START_BY_HEADER, started)
+        start_by = _read_monotonic_time(request, START_BY_HEADER, started)
         wanted = AdmissionRequest(deadline, target_time, log.route, start_by)
         refused = self._gate.reserve(request, traffic_class, wanted)
         log.waited = monotonic() - started
@@ -200,20 +202,20 @@
             why.update(late=request.header(TARGET_HEADER) == "0", limit=refused.limit, **self._gate.bodies.load())
             return self._refuse(refused.code, refused.retry_after, log, **why)
         hashed = hash_body(request, hasher)
-        # It may have begun to leave while the request waited, for its body or for the rate: until
-        # the first piece is here nothing of it is passed on.
+        # The application may have begun to leave while the request waited for its body or for the
+        # rate limit, so this is checked again; nothing of the request has been passed on yet.
         refusal = self._wait_to_pass_on(request, hashed, hasher, traffic_class, deadline) or self._registration.judge(
-            meant
+            expected
         )
         if refusal is not None:
             self._gate.limiter.release(traffic_class, None, monotonic())
             if refusal is ErrorCode.QUARANTINED:
                 return self._refuse_quarantined(hasher, log)
             wait = 0.0 if refusal is ErrorCode.DEADLINE else RETRY_AFTER
-            return self._refuse(refusal, wait, log, meant=meant, incarnation=self._registration.upstream)
+            return self._refuse(refusal, wait, log, meant=expected, incarnation=self._registration.upstream)
         log.note(Event.REQUEST_ADMITTED, waited_ms=round(1000 * (monotonic() - started), 1), **self._gate.load())
         answer = self._pass_on(hashed, hasher, traffic_class, deadline, span, log)
-        log.note(Event.REQUEST_DONE, status=answer.status, incarnation=meant)
+        log.note(Event.REQUEST_DONE, status=answer.status, incarnation=expected)
         return answer
 
     def _refuse(self, code: ErrorCode, retry_after: float, log: RequestLog, **why: object) -> Answer:
@@ -225,16 +227,21 @@
     def _wait_to_pass_on(
         self, request: Request, hashed: Request, hasher: RequestHasher, traffic_class: str, deadline: float
     ) -> ErrorCode | None:
-        """Wait until the body begins to come, and the request may arrive by the rate limit.
+        """Wait until the body begins to come and the rate limit lets the request pass.
 
-        Returns why it may not be passed on. Where it may be a quarantined one all of the body
-        is waited for that tells them apart. It may have become one while it waited.
+        If the request may be a quarantined one, this also waits for all of the body that its
+        fingerprint includes. The request may also be quarantined while it waits.
+
+        Returns
+        -------
+        ErrorCode or None
+            Why the request may not be passed on; None if it may.
         """
         try:
             self._gate.bodies.fetch(request, deadline)
             if not hasher.is_complete and self._quarantine.has_head(hasher.head):
                 hashed.body.hold(deadline)
-            if not self._gate.wait_to_arrive(deadline):
+            if not self._gate.wait_for_rate(deadline):
                 return ErrorCode.RATE_LIMITED
         except StopTimeout:
             return ErrorCode.DRAINING
@@ -246,22 +253,22 @@
         return ErrorCode.QUARANTINED if self._is_quarantined(hasher) else None
 
     def _is_quarantined(self, hasher: RequestHasher) -> bool:
-        """Tell whether a request may not be passed on, by all of it that is here."""
-        # Nearly no head is one of those: the digest is spared, 1 us.
+        """Tell whether the part of a request that has come so far belongs to a quarantined request."""
+        # Hardly any request has the head of a quarantined one, so this saves the digest's 1 us.
         if not self._quarantine.has_head(hasher.head):
             return False
         return self._quarantine.time_left(hasher.fingerprint(), monotonic()) > 0
 
     def _refuse_quarantined(self, hasher: RequestHasher, log: RequestLog) -> Answer:
-        """Refuse a request of which nothing was passed on."""
+        """Refuse a quarantined request, of which nothing has been passed on."""
         suspect = hasher.fingerprint()
-        left = self._quarantine.time_left(suspect, monotonic())
-        return self._refuse(ErrorCode.QUARANTINED, left, log, suspect=suspect)
+        remaining = self._quarantine.time_left(suspect, monotonic())
+        return self._refuse(ErrorCode.QUARANTINED, remaining, log, suspect=suspect)
 
     def _pass_on(
         self, request: Request, hasher: RequestHasher, traffic_class: str, deadline: float, span, log: RequestLog
     ) -> Answer:
-        """Send a request to the application; the slot is held to the answer's end."""
+        """Send a request to the application, and hold its slot until the end of the answer."""
         started = monotonic()
         slot = Slot(self._gate.limiter, traffic_class, log.route, started)
         if started >= deadline:
@@ -285,14 +292,14 @@
                 account.note_answer(exc.code is not ErrorCode.ANSWER_TIMEOUT, monotonic() - started)
             return self._on_lost(exc, log, work.end_failed(exc))
         except StopTimeout:
-            # While it waited for the application's first bytes.
+            # The process stops before the first bytes of the answer have come.
             work.end_abandoned()
-            lost = ExchangeError(ErrorCode.ANSWER_LOST, Outcome.UNKNOWN, "no answer before the stop")
+            lost = ExchangeError(ErrorCode.ANSWER_LOST, Outcome.UNKNOWN, "no answer before this process stopped")
             return self._on_lost(lost, log)
         except BaseException:
             worked = monotonic() - started
             if account is not None and worked >= self._gate.limiter.tail(log.route):
-                # Given up for being late: it would have taken longer still.
+                # The caller gave up on a late answer, which would have taken even longer.
                 account.note_answer(False, worked)
             work.end_abandoned()
             raise
@@ -301,10 +308,10 @@
         if facts.is_foreign:
             response.close()
             work.end_abandoned()
-            foreign = ExchangeError(ErrorCode.ANSWER_LOST, Outcome.UNKNOWN, "an answer to another request")
+            foreign = ExchangeError(ErrorCode.ANSWER_LOST, Outcome.UNKNOWN, "the application answered another request")
             return self._on_lost(foreign, log)
         self._registration.note_answer(awake())
-        # What a former start of the application states says nothing of the one that is held.
+        # A report by an earlier incarnation of the application doesn't apply to the registered one.
         if not facts.is_elsewhere and advertised is self._registration.advertised:
             self._note_report(facts.report)
         if facts.was_refused:
@@ -335,23 +342,28 @@
         return Answer(head.status, head.reason, headers, rest)
 
     def _note_report(self, report: UpstreamReport) -> None:
-        """Take over what an answer states of the application; it binds from here on."""
+        """Apply what an answer states about the application, from now on."""
         self._registrar.note_report(report, self._registration.incarnation)
         self._gate.update_rate()
         is_registered = bool(self._registration.upstream)
         if report.is_draining and not (is_registered or self._view.is_draining):
-            # Without an id its next start can't be told from it: it holds for the daemon's life.
+            # An application without an id can't be told from its next incarnation, so the drain
+            # lasts until the daemon ends.
             self._view.is_draining = True
             self._events.emit(Event.DRAINING, service=self._service)
 
     def _make_account(self, route: str) -> CanaryAccount | None:
-        """Return what counts a request, where a canary of the service runs."""
+        """Return the canary account of a request, or None if no canary of the service runs."""
         if not self._view.canary_counter.is_counting(self._registration.service):
             return None
         return CanaryAccount(self._view, self._registration, self._metrics, route)
 
     def _on_lost(self, exc: ExchangeError, log: RequestLog, suspect: Fingerprint | None = None) -> Answer:
-        """No answer has come of the application, which has ended where the request is suspected."""
+        """Answer a request that got no answer from the application.
+
+        `suspect` is the request's fingerprint if the request is suspected of having crashed the
+        application.
+        """
         if exc.outcome == Outcome.NOT_RUN:
             wait = 0.0 if exc.code is ErrorCode.DEADLINE else RETRY_AFTER
             return self._refuse(exc.code, wait, log, error=exc)
@@ -364,11 +376,11 @@
         return answer
 
     def _on_refused(self, response, work: Work, is_elsewhere: bool, log: RequestLog) -> Answer:
-        """The application has refused the request and will not run it."""
+        """Answer a request that the application refused and will not run."""
         try:
             response.read_all()
         except (OSError, MalformedMessage):
-            pass  # the head was enough
+            pass  # the head says all that is needed
         finally:
             response.close()
             work.end_refused()
@@ -377,9 +389,9 @@
         answer.headers.append((ARRIVED_HEADER, "1"))
         return answer
 
-    def _make_headers(self, request: Request, left: float, span) -> list[tuple[str, str]]:
-        headers = public_headers(request.headers, _SET_HERE)
-        left_ms = max(1, int(left * 1000))
+    def _make_headers(self, request: Request, remaining: float, span) -> list[tuple[str, str]]:
+        headers = public_headers(request.headers, _REPLACED_HEADERS)
+        left_ms = max(1, int(remaining * 1000))
         attempt = request.header(ATTEMPT_HEADER)
         headers += self._dialect.request_headers(
             left_ms,
@@ -392,7 +404,7 @@
         return headers
 
 
-def _read_time(request: Request, name: str, started: float) -> float | None:
-    """Return the time, monotonic seconds, that a header gives in milliseconds from the start; None where it doesn't."""
+def _read_monotonic_time(request: Request, name: str, started: float) -> float | None:
+    """Return the monotonic time, in seconds, that a header states in milliseconds after `started`; None if absent."""
     left_ms = read_int(request.header(name))
     return None if left_ms is None else started + left_ms / 1000
--- a/packages/lanedock-daemon/lanedock_daemon/path/work.py
+++ b/packages/lanedock-daemon/lanedock_daemon/path/work.py
@@ -1,5 +1,5 @@
 # SPDX-License-Identifier: BSD-3-Clause
-"""A request while its upstream's application works on it."""
+"""The state of a request while the application of its upstream runs it."""
 
 from lanedock.quarantine import Fingerprint, RequestHasher
 from lanedock_daemon.path.crashes import CrashDetector
@@ -12,7 +12,9 @@
 
 
 class Work:
-    """A request that the application works on: a run, and the slot that it holds. Given up once.
+    """A request that the application runs, with the slot that it holds.
+
+    One of the methods has to be called when the run ends.
 
     Parameters
     ----------
@@ -20,9 +22,9 @@
     hasher : RequestHasher
     slot : Slot
     body : Body
-        As it is passed on.
+        Body of the request as it is passed on.
     deadline : float
-        Monotonic, seconds: of the request.
+        Deadline of the request: a monotonic time, in seconds.
     """
 
     __slots__ = ("_body", "_crashes", "_deadline", "_run", "_slot")
@@ -35,22 +37,26 @@
         self._slot = slot
 
     def end_served(self) -> None:
-        """The whole answer has come."""
+        """End the run after the complete answer."""
         self._slot.release()
         self._crashes.note_served(self._run)
 
     def end_refused(self) -> None:
-        """The application does not run it."""
+        """End a run that the application refused."""
         self._slot.release()
         self._crashes.note_refused(self._run)
 
     def end_abandoned(self) -> None:
-        """Nobody waits for it any more."""
+        """End a run for which nobody waits any more."""
         self._slot.release()
         self._crashes.note_abandoned(self._run)
 
     def end_lost(self) -> Fingerprint | None:
-        """Its connection broke; returns what it is suspected under, where the application has ended."""
+        """End a run whose connection broke.
+
+        Returns the request's fingerprint if the request is suspected of having crashed the
+        application, else None.
+        """
         self._slot.release()
         hasher = self._run.hasher
         if not self._crashes.note_lost(self._run):
@@ -59,12 +65,12 @@
             try:
                 self._body.finish(self._deadline)
             except (OSError, StopTimeout):
-                return None  # the rest doesn't come in time: it isn't known which request it was
-            self._crashes.note_body(self._run)
+                return None  # the rest of the body doesn't come in time, so the fingerprint isn't known
+            self._crashes.report_suspect(self._run)
         return hasher.fingerprint()
 
     def end_failed(self, exc: ExchangeError) -> Fingerprint | None:
-        """No answer has come; returns as `end_lost`."""
+        """End a run that got no answer; returns the same as `end_lost`."""
         if exc.is_broken:
             return self.end_lost()
         if exc.outcome == Outcome.NOT_RUN:
