--- a/packages/lanedock-daemon/lanedock_daemon/path/answers.py
+++ b/packages/lanedock-daemon/lanedock_daemon/path/answers.py
@@ -1,5 +1,5 @@
 # SPDX-License-Identifier: BSD-3-Clause
-"""Answers of upstreams over pooled connections, and what is known where none comes."""
+"""Answers read from pooled connections, and errors that state the outcome if no answer comes."""
 
 from errno import EHOSTUNREACH, ENETUNREACH, ETIMEDOUT
 
@@ -9,17 +9,16 @@
 from lanedock_daemon.path.pool import ConnectionPool, ExchangeError
 from lanedock_daemon.path.service import StopTimeout
 
-__all__ = ["AnswerPieces", "OutcomeKnown", "UpstreamAnswer", "make_failure"]
+__all__ = ["AnswerPieces", "ExchangeGuard", "UpstreamAnswer", "make_failure"]
 
-# Least time, in seconds, after which an answer whose head was passed on counts as broken off
-# while nothing more of it comes: packets that were lost are sent again by then. Else it is the
-# time that the request had. With 30 s, connections that fall silent within answers kept
-# slots for as long.
-MIN_SILENCE = 1.0
+# Shortest read time-out, in seconds, of an answer whose head has been passed on; the time-out is
+# otherwise the time that the request had left. 1 s leaves time to retransmit lost packets. With
+# 30 s, connections that fell silent within an answer held their slots for 30 s.
+MIN_READ_TIMEOUT = 1.0
 
 
 class UpstreamAnswer:
-    """An answer whose head was read.
+    """An answer whose head has been read and whose body may still have to be read.
 
     Attributes
     ----------
@@ -34,15 +33,15 @@
         self._pool = pool
         self._address = address
         if message.is_complete:
-            self._settle()
+            self._release_connection()
 
     def read(self) -> bytes:
-        """Return the next piece of the body; empty at its end.
+        """Return the next piece of the body; empty at the end of the body.
 
         Raises
         ------
         OSError, MalformedMessage
-            It broke off.
+            If the answer breaks off.
         """
         if self.message.pieces:
             return self.message.pieces.popleft()
@@ -50,19 +49,25 @@
             return b""
         piece = self._reader.next_piece(self.message)
         if self.message.is_complete:
-            self._settle()
+            self._release_connection()
         return piece
 
     def read_first(self) -> list[bytes]:
-        """Wait for the first piece of the body, with which the head is passed on; none where all is read.
+        """Wait for the first piece of the body, which is passed on together with the head.
+
+        Returns
+        -------
+        list of bytes
+            Empty if the whole answer has been read already.
 
         Raises
         ------
         ExchangeError
+            If the answer breaks off.
         """
         if self._reader is None:
             return []
-        with OutcomeKnown(self._reader, self._address):
+        with ExchangeGuard(self._reader, self._address):
             return [self.read()]
 
     def read_all(self) -> bytes:
@@ -72,8 +77,8 @@
             pieces.append(piece)
         return b"".join(pieces)
 
-    def read_some(self, limit: int) -> list[bytes]:
-        """Return the body as far as `limit` bytes reach; the rest is still to be read."""
+    def read_prefix(self, limit: int) -> list[bytes]:
+        """Read pieces of the body until it ends or they exceed `limit` bytes."""
         pieces, size = [], 0
         while size <= limit and (piece := self.read()):
             pieces.append(piece)
@@ -81,12 +86,12 @@
         return pieces
 
     def lift_deadline(self, silence: float) -> None:
-        """Let the body take its time from now on, unless nothing of it comes for some seconds."""
+        """Replace the deadline by a time-out of `silence` seconds, or more, between two reads."""
         if self._reader is not None:
-            self._reader.conn.settimeout(max(MIN_SILENCE, silence))
+            self._reader.conn.settimeout(max(MIN_READ_TIMEOUT, silence))
 
-    def _settle(self) -> None:
-        """Give the connection back once the answer was read to its end."""
+    def _release_connection(self) -> None:
+        """Return the connection to the pool, or close it, after the end of the answer."""
         reader, self._reader = self._reader, None
         if reader is None:
             return
@@ -96,27 +101,27 @@
             reader.conn.close()
 
     def close(self) -> None:
-        """Drop the connection, unless the answer was read to its end."""
+        """Close the connection, unless the answer has been read to its end."""
         reader, self._reader = self._reader, None
         if reader is not None:
             reader.conn.close()
 
 
 class AnswerPieces:
-    """The pieces of an answer's body, as they come.
+    """Iterator over the pieces of an answer's body, as they come.
 
-    Its head is passed on with the first of them, which was read by the request's
-    deadline; from then on it must not be cut for the time that it takes.
+    The head is passed on with the first piece, which has been read before the request's deadline.
+    From then on the deadline no longer applies; only a silent connection ends the answer.
 
     Parameters
     ----------
     response : UpstreamAnswer
     on_end : callable
-        Called once, however it ends, with whether the body broke off.
+        Called exactly once at the end, with a bool: whether the body broke off.
     first : list of bytes
-        Pieces that were read already.
+        Pieces that have been read already.
     silence : float
-        Seconds without a piece after which it counts as broken off.
+        Seconds without a piece after which the answer counts as broken off.
     """
 
     def __init__(self, response: UpstreamAnswer, on_end, first: list[bytes], silence: float):
@@ -142,7 +147,7 @@
         return piece
 
     def close(self) -> None:
-        """Read no more; the one who asked has gone, or has all."""
+        """Stop reading: the receiver has disconnected, or has got the whole answer."""
         self._finish(False)
 
     def _finish(self, broke_off: bool) -> None:
@@ -152,8 +157,11 @@
             on_end(broke_off)
 
 
-class OutcomeKnown:
-    """Closes a connection on which an exchange fails, and raises what is known of the outcome."""
+class ExchangeGuard:
+    """Context manager that closes a connection if an exchange on it fails.
+
+    The failure is raised as an `ExchangeError` that states what is known of the outcome.
+    """
 
     __slots__ = ("_address", "_reader")
 
@@ -173,24 +181,33 @@
 
 
 def make_failure(address: tuple[str, int], exc: BaseException, is_passed_on: bool) -> ExchangeError:
-    """Make what is known of an exchange that has failed, or that the process's own end cuts short."""
+    """Make the error for an exchange that has failed, or that the stop of this process cuts short.
+
+    Parameters
+    ----------
+    address : tuple of (str, int)
+    exc : BaseException
+        Cause of the failure.
+    is_passed_on : bool
+        Whether the request has been passed on, so that the application may have run it.
+    """
     is_stop = isinstance(exc, StopTimeout)
-    # The kernel's own time-out: nothing that was sent has been acknowledged.
-    is_cut_off = isinstance(exc, OSError) and exc.errno in (ETIMEDOUT, EHOSTUNREACH, ENETUNREACH)
-    is_late = isinstance(exc, TimeoutError) and not is_cut_off
+    # With these errors the kernel gave up because the other side acknowledged no sent data.
+    is_unreachable = isinstance(exc, OSError) and exc.errno in (ETIMEDOUT, EHOSTUNREACH, ENETUNREACH)
+    is_late = isinstance(exc, TimeoutError) and not is_unreachable
     is_body_late = isinstance(exc, (BodyTimeout, BodyBroken))
     if not is_passed_on:
-        # Without any of its body no daemon passes a request on that it was to ask for.
-        code, reason = ErrorCode.CONNECT_FAILED, f"{exc!r} before its body was asked for"
+        # A daemon that has to request the body passes nothing on before it has some of the body.
+        code, reason = ErrorCode.CONNECT_FAILED, f"{exc!r} before the request was passed on"
         if is_stop:
-            code, reason = ErrorCode.DRAINING, "not passed on before the stop"
+            code, reason = ErrorCode.DRAINING, "request not passed on before this process stopped"
         elif is_late:
-            code, reason = ErrorCode.DEADLINE, "not passed on in time"
-        return ExchangeError(code, Outcome.NOT_RUN, f"{address}: {reason}", is_cut_off, is_body_late)
+            code, reason = ErrorCode.DEADLINE, "request not passed on before its deadline"
+        return ExchangeError(code, Outcome.NOT_RUN, f"{address}: {reason}", is_unreachable, is_body_late)
     code, reason = ErrorCode.ANSWER_LOST, repr(exc)
     if is_stop:
-        reason = "no answer before the stop"
+        reason = "no answer before this process stopped"
     elif is_late:
-        code, reason = ErrorCode.ANSWER_TIMEOUT, "no answer in time"
-    is_broken = not (is_stop or is_late or is_cut_off or is_body_late)
-    return ExchangeError(code, Outcome.UNKNOWN, f"{address}: {reason}", is_cut_off, is_body_late, is_broken)
+        code, reason = ErrorCode.ANSWER_TIMEOUT, "no answer before the deadline"
+    is_broken = not (is_stop or is_late or is_unreachable or is_body_late)
+    return ExchangeError(code, Outcome.UNKNOWN, f"{address}: {reason}", is_unreachable, is_body_late, is_broken)
--- a/packages/lanedock-daemon/lanedock_daemon/path/dialect.py
+++ b/packages/lanedock-daemon/lanedock_daemon/path/dialect.py
@@ -1,9 +1,9 @@
 # SPDX-License-Identifier: BSD-3-Clause
-"""The headers by which callers and applications say what lanedock has to know.
+"""Translation between lanedock and the headers that callers and applications use.
 
-Between daemons lanedock's own headers are spoken. Towards callers and
-applications a dialect reads and writes whatever they speak; it decodes it once,
-into `RequestFacts` and `AnswerFacts`, and decides nothing.
+Daemons use lanedock's own headers among each other. For callers and applications, a dialect
+decodes the headers once, into `RequestFacts`, `AnswerFacts` and `HealthFacts`, and writes those
+that they expect. It makes no decisions.
 """
 
 from abc import ABC, abstractmethod
@@ -23,27 +23,27 @@
 
 __all__ = ["AnswerFacts", "Dialect", "HealthFacts", "OwnDialect", "RequestFacts"]
 
-# Of the answers by which an application reports that it drains.
+# Set in answers of an application that is draining.
 DRAIN_HEADER = "x-upstream-draining"
-# Requests a second that an application takes from all callers together, in its answers.
+# In answers of an application: requests per second that it accepts from all callers together.
 RATE_LIMIT_HEADER = "x-upstream-rate-limit"
-# By which callers identify themselves (RFC 9110, 11.6.2).
+# Identifies the customer who sends a request (RFC 9110, section 11.6.2).
 CUSTOMER_HEADER = "authorization"
 
 
 class RequestFacts:
-    """What a caller's headers state of its request.
+    """Information about a request from its caller's headers.
 
     Parameters
     ----------
     request_id : str
-        Empty where it has none.
+        Empty if the request has none.
     deadline_ms : int or None
-        Time for which the caller waits, in milliseconds.
+        Time for which the caller waits, in milliseconds; None if not stated.
     was_retried : bool
-        Whether a hop before has sent the request again.
+        Whether an earlier hop has retried the request.
     customer : str
-        What the caller identifies itself by; empty where it doesn't.
+        Credentials that identify the customer; empty if there are none.
     """
 
     __slots__ = ("customer", "deadline_ms", "request_id", "was_retried")
@@ -61,7 +61,7 @@
 
 
 class AnswerFacts:
-    """What an application's answer states of its request, and of the application.
+    """Information about a request and the application from the application's answer.
 
     Parameters
     ----------
@@ -70,9 +70,9 @@
     is_foreign : bool
         Whether the answer belongs to another request.
     is_elsewhere : bool
-        Whether another incarnation of an application has the address.
+        Whether another incarnation of an application uses the address.
     report : UpstreamReport
-        What it states of the application itself.
+        Statements about the application itself.
     """
 
     __slots__ = ("is_elsewhere", "is_foreign", "report", "was_refused")
@@ -88,17 +88,17 @@
 
 
 class HealthFacts:
-    """What an application's health check reports.
+    """Information from the answer to an application's health check.
 
     Parameters
     ----------
     is_well : bool
     upstream : str
-        Incarnation of the application; empty where it is not reported.
+        Incarnation of the application; empty if not reported.
     slots : int
-        Requests that it works on at once; 0 where it is not reported.
+        Number of requests that the application runs concurrently; 0 if not reported.
     report : UpstreamReport
-        What any answer of it states.
+        Statements about the application that any of its answers may contain.
     """
 
     __slots__ = ("is_well", "report", "slots", "upstream")
@@ -114,14 +114,14 @@
 
 
 class Dialect(ABC):
-    """How callers and applications put what lanedock has to know.
+    """Reads and writes the headers that callers and applications use.
 
     Attributes
     ----------
     request_names : frozenset of str
-        Headers that lanedock sets itself: not passed on as they came.
+        Request headers that lanedock sets itself and doesn't pass on as received.
     answer_names : frozenset of str
-        Headers of applications' answers that are not passed on.
+        Headers of applications' answers that are not passed on to callers.
     """
 
     request_names: frozenset = frozenset()
@@ -129,11 +129,11 @@
 
     @abstractmethod
     def read_request(self, headers: list[tuple[str, str]]) -> RequestFacts:
-        """Read a caller's headers, their names in lower case."""
+        """Decode the headers of a request; their names are in lower case."""
 
     @abstractmethod
     def read_answer(self, status: int, headers: list[tuple[str, str]], request_id: str) -> AnswerFacts:
-        """Read the headers of an application's answer."""
+        """Decode the headers of an application's answer."""
 
     @abstractmethod
     def request_headers(self, left_ms: int, upstream: str, caller: str, attempt: int) -> list[tuple[str, str]]:
@@ -144,14 +144,15 @@
         left_ms : int
             Time left, in milliseconds.
         upstream : str
-            Incarnation of the application that is meant; empty for any.
+            Incarnation of the application for which the request is meant; empty for any.
         caller : str
-            Service where the request started; empty where none runs there.
+            Service that sent the request; empty if the caller is no service of the mesh.
         attempt : int
+            Number of the attempt, starting at 1.
         """
 
     def read_health(self, status: int, headers: list[tuple[str, str]]) -> HealthFacts:
-        """Read the answer to an application's health check."""
+        """Decode the answer to an application's health check."""
         return HealthFacts(status == 200)
 
     def make_refusal(self, code: ErrorCode, outcome: str, retry_after: float = 0.0, detail: str = "") -> Answer:
@@ -163,7 +164,7 @@
     """lanedock's own headers."""
 
     request_names = frozenset((ATTEMPT_HEADER, DEADLINE_HEADER, TRACE_HEADER))
-    # What only a daemon may say is taken out.
+    # Headers that only a daemon may set are removed from applications' answers.
     answer_names = HOP_HEADERS | {OUTCOME_HEADER, CODE_HEADER, DRAIN_HEADER, RATE_LIMIT_HEADER}
 
     def read_request(self, headers: list[tuple[str, str]]) -> RequestFacts:
--- a/packages/lanedock-daemon/lanedock_daemon/path/exchange.py
+++ b/packages/lanedock-daemon/lanedock_daemon/path/exchange.py
@@ -1,12 +1,12 @@
 # SPDX-License-Identifier: BSD-3-Clause
-"""One exchange over a pooled connection: a request is sent, its answer is read by httptools' parser."""
+"""Exchanges over pooled connections: a request is sent, and httptools' parser reads its answer."""
 
 import gevent
 
 from lanedock.clock import monotonic
 from lanedock.errors import ErrorCode
 from lanedock.telemetry import Event, EventLogger
-from lanedock_daemon.path.answers import OutcomeKnown, UpstreamAnswer, make_failure
+from lanedock_daemon.path.answers import ExchangeGuard, UpstreamAnswer, make_failure
 from lanedock_daemon.path.http import CHUNK, Body, BodyTimeout, Outcome, Request
 from lanedock_daemon.path.parser import AnswerReader
 from lanedock_daemon.path.pool import ConnectionPool, ExchangeError
@@ -14,23 +14,24 @@
 
 __all__ = ["Consent", "Pacer", "PendingAnswer", "exchange", "note_late", "send_request"]
 
-# Bytes that a body is sent in at once at a pace: 28 ms of a link of 2.3 Mbit/s.
+# Piece size, in bytes, of a paced body: 28 ms on a link of 2.3 Mbit/s.
 PACED_PIECE = 8 * 1024
 _WITH_BODY = ("POST", "PUT", "PATCH")
 
 
 class Consent:
-    """That a body is sent only once the other side wants it.
+    """Delays a body until the other side requests it ("Expect: 100-continue").
 
-    A refusal costs nothing then, and the body can still go elsewhere.
+    If the other side refuses, the body has used no bandwidth and can still be sent to another upstream.
 
     Parameters
     ----------
     late_after : float
-        Seconds after which consent is late.
+        Seconds after which the other side's consent is late.
     on_late : callable
-        Called without arguments where it is: the connection may have fallen silent, and others
-        with it, each of which would cost the next body its whole deadline. The wait goes on.
+        Called without arguments if the consent is late. This connection and others to the same
+        address may have fallen silent, and each of them would cost another body its whole
+        deadline. The wait goes on.
     """
 
     __slots__ = ("_late_after", "_on_late")
@@ -40,21 +41,21 @@
         self._on_late = on_late
 
     def wait(self, reader: AnswerReader) -> bool:
-        """Wait until the body is wanted; see `AnswerReader.wait_for_consent`."""
+        """Wait until the other side requests the body; see `AnswerReader.wait_for_consent`."""
         if not reader.conn.wait(self._late_after):
             self._on_late()
         return reader.wait_for_consent()
 
 
 class Pacer:
-    """Sends a body at a pace, so that short messages find room between its pieces.
+    """Limits the rate at which a body is sent, so that short messages pass between its pieces.
 
     Parameters
     ----------
     rate : int or None
-        Bytes a second; None for any.
+        Bytes per second; None for no limit.
     now : float
-        Monotonic, seconds.
+        Monotonic time, in seconds, at which the body starts.
     """
 
     __slots__ = ("_rate", "_sent", "_started", "piece_size")
@@ -66,21 +67,21 @@
         self.piece_size = CHUNK if rate is None else PACED_PIECE
 
     def note_sent(self, size: int, now: float) -> float:
-        """Note that bytes were sent; returns the seconds to wait before the next ones."""
+        """Record that bytes were sent, and return the seconds to wait before the next ones."""
         if not self._rate:
             return 0.0
         self._sent += size
         return max(0.0, self._started + self._sent / self._rate - now)
 
     def pause(self, size: int) -> None:
-        """Wait as is due after bytes were sent."""
+        """Record that bytes were sent, and wait as long as the rate requires."""
         wait = self.note_sent(size, monotonic())
         if wait:
             gevent.sleep(wait)
 
 
 class PendingAnswer:
-    """A request that was sent, and whose answer is still to come.
+    """A request that has been sent and whose answer has not been read yet.
 
     Parameters
     ----------
@@ -88,12 +89,13 @@
     address : tuple of (str, int)
     reader : AnswerReader
     deadline : float
-        Monotonic, seconds: for the answer as far as it is not passed on yet.
+        Monotonic time, in seconds, until which the answer has to be read, except for parts
+        after its first pieces have been passed on.
 
     Attributes
     ----------
     is_being_read : bool
-        Whether `read` was called, which closes the connection where it fails.
+        Whether `read` has been called, which closes the connection if it fails.
     """
 
     __slots__ = ("_address", "_deadline", "_pool", "_reader", "is_being_read")
@@ -106,7 +108,7 @@
         self.is_being_read = False
 
     def wait(self, timeout: float) -> bool:
-        """Wait for the answer's first bytes; False where none came within `timeout` seconds."""
+        """Wait for the first bytes of the answer, and return whether they came within `timeout` seconds."""
         try:
             return self._reader.has_head() or self._reader.conn.wait(timeout)
         except BaseException:
@@ -114,45 +116,46 @@
             raise
 
     def note_late(self, sent_at: float, events: EventLogger, upstream: str) -> None:
-        """Note that the answer is late; see the function."""
+        """Record that the answer is late; see the function `note_late`."""
         note_late(self._pool, self._address, sent_at, events, upstream)
 
     def read(self) -> UpstreamAnswer:
-        """Wait for the answer's head.
+        """Read the head of the answer.
 
         Raises
         ------
         ExchangeError
+            If no head comes by the deadline, or the connection fails.
         """
         reader, address = self._reader, self._address
         self.is_being_read = True
-        with OutcomeKnown(reader, address):
+        with ExchangeGuard(reader, address):
             reader.conn.set_deadline(self._deadline)
             message = reader.next_head()
             if message is None:
-                raise ConnectionError("the connection ended before the answer")
+                raise ConnectionError("the upstream closed the connection before the answer")
             self._pool.note_heard(address, monotonic())
             return UpstreamAnswer(reader, message, self._pool, address)
 
     def close(self) -> None:
-        """Drop the request: nobody waits for its answer any more."""
+        """Cancel the request by closing the connection; nobody waits for the answer any more."""
         self._reader.conn.close()
 
 
 def note_late(
     pool: ConnectionPool, address: tuple[str, int], sent_at: float, events: EventLogger, upstream: str
 ) -> None:
-    """Note that what a request waits for is late: its connection may have fallen silent, and others with it.
+    """Record that an answer or consent is late, because connections to the address may have fallen silent.
 
     Parameters
     ----------
     pool : ConnectionPool
     address : tuple of (str, int)
     sent_at : float
-        Monotonic, seconds: of the request.
+        Monotonic time, in seconds, at which the request was sent.
     events : EventLogger
     upstream : str
-        Whose connections they are, for a log line.
+        Instance at the address, for the log line.
     """
     if pool.note_late(address, sent_at):
         events.emit(Event.CONNECTIONS_SILENT, upstream=upstream)
@@ -166,7 +169,7 @@
     deadline: float,
     consent: Consent | None = None,
 ) -> PendingAnswer:
-    """Send a request.
+    """Send a request over a pooled connection.
 
     Parameters
     ----------
@@ -174,26 +177,29 @@
     address : tuple of (str, int)
     request : Request
     headers : list of tuple of (str, str)
-        Sent instead of the request's own.
+        Sent instead of the request's own headers.
     deadline : float
-        Monotonic, seconds: for all up to the answer, as far as it is not passed on yet.
+        Monotonic time, in seconds, for sending the request and for reading the answer until its
+        first pieces are passed on.
     consent : Consent, optional
-        Where the body is sent only once the other side wants it.
+        If given, the body is sent only when the other side requests it.
 
     Raises
     ------
     ExchangeError
-        With what is known of the outcome.
+        States what is known of the outcome.
     """
     timeout = deadline - monotonic()
     if timeout <= 0:
-        raise ExchangeError(ErrorCode.DEADLINE, Outcome.NOT_RUN, f"{address}: no time is left")
+        raise ExchangeError(
+            ErrorCode.DEADLINE, Outcome.NOT_RUN, f"{address}: the deadline passed before the request was sent"
+        )
     try:
         reader = pool.get(address, timeout)
     except StopTimeout as exc:
         raise make_failure(address, exc, False) from exc
     reader.begin(request.method)
-    with OutcomeKnown(reader, address):
+    with ExchangeGuard(reader, address):
         reader.conn.set_deadline(deadline)
         _send(reader, request, headers, deadline, consent)
     return PendingAnswer(pool, address, reader, deadline)
@@ -207,12 +213,12 @@
     Parameters
     ----------
     timeout : float
-        Seconds for all, the answer's body included.
+        Seconds for the whole exchange, including the body of the answer.
 
     Returns
     -------
     UpstreamAnswer
-        Its body is still to be read.
+        The body has not been read yet.
     """
     return send_request(pool, address, request, headers, monotonic() + timeout).read()
 
@@ -220,7 +226,7 @@
 def _send(
     reader: AnswerReader, request: Request, headers: list[tuple[str, str]], deadline: float, consent: Consent | None
 ) -> None:
-    """Write a request: its head, and a small body with it, in one piece."""
+    """Write a request; the head and a small body are sent in one piece."""
     conn, body = reader.conn, request.body
     lines = [f"{request.method} {request.target} HTTP/1.1"]
     lines += [f"{name}: {value}" for name, value in headers if name != "content-length"]
@@ -249,37 +255,43 @@
 
 
 def _read_piece(body: Body, size: int, deadline: float) -> bytes:
-    """Return the next piece of a body; past the deadline nothing more of it is passed on."""
+    """Return the next piece of a body.
+
+    Raises
+    ------
+    BodyTimeout
+        If the deadline has passed; nothing more of the body is passed on then.
+    """
     piece = body.read(size, deadline)
     if monotonic() >= deadline:
-        raise BodyTimeout("the body was not passed on in time")
+        raise BodyTimeout("the request body was not passed on before the deadline")
     return piece
 
 
 def _send_counted(reader: AnswerReader, head: bytes, body: Body, deadline: float, pacer: Pacer) -> None:
-    left = body.length
-    while left > 0:
-        piece = _read_piece(body, min(pacer.piece_size, left), deadline)
+    bytes_left = body.length
+    while bytes_left > 0:
+        piece = _read_piece(body, min(pacer.piece_size, bytes_left), deadline)
         if not piece:
-            raise ConnectionError("the body ended too early")
-        if left < body.length and not reader.conn.is_clean():
-            # An early answer: the rest is not wanted, and the connection can't
-            # be used again, for the other side may still wait for it.
+            raise ConnectionError(f"the request body ended {bytes_left} bytes before its declared length")
+        if bytes_left < body.length and not reader.conn.is_clean():
+            # The other side has answered early and doesn't need the rest of the body. The
+            # connection can't be reused, because the other side may still wait for the rest.
             reader.is_body_unsent = True
             return
         reader.is_passed_on = True
         reader.conn.sendall(head + piece if head else piece)
         head = b""
-        left -= len(piece)
-        if left:
+        bytes_left -= len(piece)
+        if bytes_left:
             pacer.pause(len(piece))
 
 
 def _send_chunked(reader: AnswerReader, head: bytes, body: Body, deadline: float, pacer: Pacer) -> None:
-    """Write a body in chunks; its head goes with the first.
+    """Write a body in chunks; the head is sent together with the first chunk.
 
-    Sent before, the head could have an application begin on a request whose sender
-    was never asked for its body, and says that it was not run.
+    If the head were sent earlier, the application might start the request although its sender,
+    whose body was never requested, reports it as not run.
     """
     conn = reader.conn
     while piece := _read_piece(body, pacer.piece_size, deadline):
--- a/packages/lanedock-daemon/lanedock_daemon/path/service.py
+++ b/packages/lanedock-daemon/lanedock_daemon/path/service.py
@@ -1,5 +1,5 @@
 # SPDX-License-Identifier: BSD-3-Clause
-"""What the servers of the request path have in common: start, and a polite stop."""
+"""Base class of the servers of the request path: start and graceful stop."""
 
 from abc import abstractmethod
 
@@ -14,34 +14,34 @@
 
 __all__ = ["HttpService", "StopTimeout"]
 
-# Seconds between two looks whether a server that stops has nothing left to do.
+# Interval, in seconds, between checks whether a stopping server is idle.
 POLL = 0.02
 
 
 class StopTimeout(gevent.GreenletExit):
-    """The process ends: what works on a request has to give its final answer now."""
+    """Raised in greenlets that handle requests when the process stops and they have to answer at once."""
 
 
 class HttpService(Service):
-    """Takes requests on an address and hands them to one side of the path.
+    """Accepts requests at an address and passes them to one side of the request path.
 
     Parameters
     ----------
     name : str
-        As a service.
+        Name as a service of the kernel.
     address : Address
     side : object
-        With ``handle(request) -> Answer``.
+        Has a method ``handle(request) -> Answer``.
     plan : StopPlan
-        The process's. At its deadline all that is in progress is answered.
+        Stop plan of the process. All requests still in progress are answered at its deadline.
     events : EventLogger
     closes_last : bool
-        Whether it accepts requests until it is stopped, rather than until all
-        services begin to stop.
+        Whether the server accepts connections until `stop` rather than until `begin_stop`.
 
     Attributes
     ----------
     in_progress : int
+        Number of requests in progress.
     is_stopping : bool
         Whether connections are to be closed after their next answer.
     """
@@ -57,16 +57,16 @@
         self._plan = plan
         self._events = events
         self._closes_last = closes_last
-        self._final: gevent.Greenlet | None = None
+        self._final_answers: gevent.Greenlet | None = None
         self._server: StreamServer | None = None
 
     @abstractmethod
     def _make_server(self, listener: tuple[str, int]) -> StreamServer:
-        """Make the server, not yet started."""
+        """Make the server without starting it."""
 
     @property
     def port(self) -> int:
-        """The port that it listens on."""
+        """Port on which the server listens."""
         return self._server.server_port
 
     def start(self, kernel: Kernel) -> None:
@@ -77,33 +77,33 @@
             raise LanedockError(ErrorCode.ADDRESS_TAKEN, f"{self._address}: {exc}") from exc
 
     def _is_idle(self) -> bool:
-        """Tell whether the server may be ended."""
+        """Tell whether the server has nothing left to do and may stop."""
         return not self.in_progress
 
     def begin_stop(self) -> None:
-        """Set when the final answers are given, and take no new connections."""
-        if self._final is None:
+        """Schedule the final answers, and close the listener unless `closes_last` is set."""
+        if self._final_answers is None:
             now = monotonic()
             self._plan.begin(now)
-            self._final = gevent.spawn_later(max(0.0, self._plan.deadline - now), self._answer_rest)
+            self._final_answers = gevent.spawn_later(max(0.0, self._plan.deadline - now), self._answer_rest)
         if not self._closes_last:
             self._close()
 
     def _close(self) -> None:
-        """Take no new connections; those there are close after their next answer."""
+        """Accept no new connections; open ones are closed after their next answer."""
         self.is_stopping = True
         self._server.close()
 
     def _answer_rest(self) -> None:
-        """Have everything answered that has no answer yet, where the server can do so."""
+        """Answer all requests still in progress; does nothing unless a subclass can do so."""
 
     def stop(self) -> None:
-        """Take no new connections, and let requests in progress end."""
+        """Accept no new connections, and wait until the requests in progress have ended."""
         self.begin_stop()
         self._close()
         while not self._is_idle() and monotonic() < self._plan.cut_at:
             gevent.sleep(POLL)
-        self._final.kill()
+        self._final_answers.kill()
         if self.in_progress:
             self._events.emit(Event.CUT_SHORT, requests=self.in_progress)
         self._server.stop(timeout=0)
--- a/packages/lanedock-daemon/lanedock_daemon/path/tries.py
+++ b/packages/lanedock-daemon/lanedock_daemon/path/tries.py
@@ -345,7 +345,7 @@
         body_taken = 0.0
         if not head.is_complete:
             try:
-                pieces = response.read_some(BUFFER_LIMIT)
+                pieces = response.read_prefix(BUFFER_LIMIT)
             except (OSError, MalformedMessage) as exc:
                 response.close()
                 # A late body is not the upstream's fault: its head came in time, and the link may be slow.
