--- a/packages/lanedock-daemon/lanedock_daemon/path/tests/test_advertised_facts.py
+++ b/packages/lanedock-daemon/lanedock_daemon/path/tests/test_advertised_facts.py
@@ -1,5 +1,5 @@
 # SPDX-License-Identifier: BSD-3-Clause
-"""Tests of what an upstream states of itself in its answers: its rate limit, and that it leaves."""
+"""Tests of what an application states about itself in its answers: its rate limit, and that it drains."""
 
 import gevent
 import pytest
@@ -9,14 +9,14 @@
 from lanedock_daemon.path.tests.chain import Chain, Gate, make_value, parse_answer, wait_until
 
 RATE = 16.0
-# Requests a second that are sent, and for how long, in seconds.
-OFFERED, PLAYED = 80, 2.0
-# What the rate allows beyond itself: half a second's worth, and five requests.
+# Request rate, per second, and duration, in seconds, of the load.
+OFFERED_RATE, LOAD_TIME = 80, 2.0
+# Burst beyond the rate: the requests of half a second, and five more.
 ALLOWED_BURST = 5 + RATE / 2
 
 
 class LimitedApplication:
-    """A script whose answers carry some headers; notes when requests come."""
+    """An application script whose answers have given headers; records when requests arrive."""
 
     def __init__(self, *headers: str, status: str = "200 OK", work: float = 0.02):
         self.headers = list(headers)
@@ -36,7 +36,7 @@
 
 
 def _offer(chain: Chain, rate: float, seconds: float, path: str = "/x") -> list[int]:
-    """Send requests at a steady rate; returns their statuses."""
+    """Send requests at a steady rate, per second, and return the statuses of the answers."""
     tasks = []
     for _ in range(int(rate * seconds)):
         tasks.append(gevent.spawn(chain.request, "GET", path))
@@ -46,7 +46,7 @@
 
 
 def _worst_excess(arrivals: list[float], rate: float) -> float:
-    """Return by how many requests any span holds more than a rate allows in it."""
+    """Return the largest excess of arrivals over the rate, in requests, in any span of time."""
     return max(
         later - first + 1 - rate * (arrivals[later] - arrivals[first])
         for first in range(len(arrivals))
@@ -67,14 +67,14 @@
         chain.stop()
 
 
-def test_an_upstream_gets_no_more_than_the_rate_that_it_advertises(make_chain):
+def test_an_upstream_gets_no_more_requests_than_its_advertised_rate_allows(make_chain):
     limited, free = _limited(RATE), LimitedApplication()
     chain = make_chain(limited, free)
-    _offer(chain, OFFERED, 0.5)
-    seen = len(limited.arrivals)
-    statuses = _offer(chain, OFFERED, PLAYED)
+    _offer(chain, OFFERED_RATE, 0.5)
+    arrived_before = len(limited.arrivals)
+    statuses = _offer(chain, OFFERED_RATE, LOAD_TIME)
     assert set(statuses) == {200}
-    assert _worst_excess(limited.arrivals[seen:], RATE) <= ALLOWED_BURST
+    assert _worst_excess(limited.arrivals[arrived_before:], RATE) <= ALLOWED_BURST
 
 
 def test_a_drain_stated_in_an_answer_ends_with_the_incarnation_that_stated_it(make_chain):
@@ -84,70 +84,70 @@
     registration = UpstreamRegistration("s", True, 1.0)
     registration.beat(Heartbeat("a1", "s", 1, False, 4, 0.0), monotonic())
     upstream.replace_registration(registration)
-    _offer(chain, OFFERED, 0.2)
+    _offer(chain, OFFERED_RATE, 0.2)
     assert draining.arrivals
-    came = len(draining.arrivals)
+    arrived_before = len(draining.arrivals)
     assert registration.is_leaving
     registration.beat(Heartbeat("a1", "s", 2, False, 4, 0.0), monotonic())
-    assert set(_offer(chain, OFFERED, 0.2)) == {200}
-    assert len(draining.arrivals) == came
+    assert set(_offer(chain, OFFERED_RATE, 0.2)) == {200}
+    assert len(draining.arrivals) == arrived_before
     draining.headers = []
     registration.beat(Heartbeat("a2", "s", 1, False, 4, 0.0), monotonic())
     chain.publish_endpoints(incarnation=2)
-    assert set(_offer(chain, OFFERED, 0.5)) == {200}
-    assert len(draining.arrivals) > came
+    assert set(_offer(chain, OFFERED_RATE, 0.5)) == {200}
+    assert len(draining.arrivals) > arrived_before
 
 
-def test_a_limit_in_refusals_and_failures_holds_as_one_in_answers(make_chain):
+def test_a_limit_in_a_failed_answer_is_applied(make_chain):
     limited, free = _limited(RATE), LimitedApplication()
     limited.status = "500 Internal Server Error"
     chain = make_chain(limited, free)
-    _offer(chain, OFFERED, 0.3)
+    _offer(chain, OFFERED_RATE, 0.3)
     assert chain.upstreams[0].limiter.rate.rate == RATE
 
 
-def test_an_upstream_that_takes_nothing_gets_nothing_and_its_siblings_all(make_chain):
+def test_an_upstream_with_a_limit_of_zero_gets_no_requests_and_others_get_all(make_chain):
     limited, free = _limited(0), LimitedApplication()
     chain = make_chain(limited, free)
-    _offer(chain, OFFERED, 0.3)
-    seen = len(limited.arrivals)
-    assert set(_offer(chain, OFFERED, 1.0)) == {200}
-    # One may have been admitted as the limit came.
-    assert len(limited.arrivals) <= seen + 1
+    _offer(chain, OFFERED_RATE, 0.3)
+    arrived_before = len(limited.arrivals)
+    assert set(_offer(chain, OFFERED_RATE, 1.0)) == {200}
+    # One request may have been admitted just before the limit applied.
+    assert len(limited.arrivals) <= arrived_before + 1
 
 
-def test_a_limit_that_is_stated_no_more_ends_and_nothing_is_refused(make_chain):
+def test_a_limit_ends_when_it_is_no_longer_stated_and_no_request_is_refused(make_chain):
     limited, free = _limited(2.0), LimitedApplication()
     chain = make_chain(limited, free)
-    _offer(chain, OFFERED, 0.5)
+    _offer(chain, OFFERED_RATE, 0.5)
     assert chain.upstreams[0].limiter.rate.is_limited
     limited.headers = []
-    statuses = _offer(chain, OFFERED, 3.0)
+    statuses = _offer(chain, OFFERED_RATE, 3.0)
     assert set(statuses) == {200}
     assert not chain.upstreams[0].limiter.rate.is_limited
-    came = len(limited.arrivals)
-    _offer(chain, OFFERED, 0.5)
-    assert len(limited.arrivals) - came > 10
+    arrived_before = len(limited.arrivals)
+    _offer(chain, OFFERED_RATE, 0.5)
+    assert len(limited.arrivals) - arrived_before > 10
 
 
 @pytest.mark.parametrize("value", ["", "nan", "-3", "1e400", "9" * 5000])
-def test_an_answer_with_an_unreadable_limit_is_delivered_whole_and_changes_none(make_chain, value):
+def test_an_answer_with_an_unreadable_limit_is_passed_on_and_leaves_the_limit_unchanged(make_chain, value):
     limited, free = _limited(RATE), LimitedApplication()
     chain = make_chain(limited, free)
-    _offer(chain, OFFERED, 0.3)
+    _offer(chain, OFFERED_RATE, 0.3)
     limited.headers = [f"x-upstream-rate-limit: {value}"]
     status, _, body = parse_answer(chain.send(b"GET /y HTTP/1.1\r\nhost: h\r\nconnection: close\r\n\r\n"))
     assert (status, body) == (200, b"ok")
-    _offer(chain, OFFERED, 0.3)
+    _offer(chain, OFFERED_RATE, 0.3)
     assert chain.upstreams[0].limiter.rate.rate == RATE
 
 
-def test_where_all_upstreams_are_at_their_limits_requests_are_refused_with_a_time_to_come_back(make_chain):
+def test_requests_are_refused_with_a_retry_time_if_all_upstreams_are_at_their_limits(make_chain):
     value = make_value()
     value["routes"][0]["target_ms"] = 200
     limited = [_limited(2.0) for _ in range(2)]
     chain = make_chain(*limited, value=value)
-    _offer(chain, OFFERED, 0.3)
+    _offer(chain, OFFERED_RATE, 0.3)
     answers = []
     for _ in range(20):
         answers.append(chain.request("GET"))
@@ -156,19 +156,19 @@
     assert all("retry-after:" in head and "not-run" in head for head in refused)
 
 
-def test_a_limit_costs_neither_retries_nor_ejections(make_chain):
+def test_a_limit_causes_no_charged_retries_and_no_ejections(make_chain):
     limited, free = _limited(2.0), LimitedApplication()
     chain = make_chain(limited, free)
     budget = chain.view.budget("s")
-    _offer(chain, OFFERED, 1.0)
+    _offer(chain, OFFERED_RATE, 1.0)
     left = budget.left(monotonic())
-    assert set(_offer(chain, OFFERED, 1.0)) == {200}
+    assert set(_offer(chain, OFFERED_RATE, 1.0)) == {200}
     assert budget.left(monotonic()) >= left
     stats = chain.view.balancer("s")._upstreams["u0"]
     assert not stats.ejections and not stats.failures
 
 
-def test_a_drain_in_the_answer_of_a_former_start_does_not_bind_the_next(make_chain):
+def test_a_drain_in_the_answer_of_a_former_start_does_not_apply_to_the_next(make_chain):
     gate = Gate()
     chain = make_chain(gate)
     upstream = chain.upstreams[0]
@@ -184,7 +184,7 @@
     assert not registration.is_leaving
 
 
-def test_a_daemon_that_was_started_again_learns_the_limit_from_the_first_request(make_chain):
+def test_a_restarted_daemon_learns_the_limit_from_the_first_request(make_chain):
     limited, free = LimitedApplication(work=0.5), LimitedApplication()
     chain = make_chain(limited, free)
     upstream = chain.upstreams[0]
@@ -192,13 +192,13 @@
     registration.beat(Heartbeat("a1", "s", 1, False, 4, 0.0), monotonic())
     upstream.replace_registration(registration)
     chain.publish_endpoints(incarnation=2, upstream="a1", rate_limit=1.0)
-    # No answer has come yet that could state it.
-    _offer(chain, OFFERED, 0.4)
+    # No answer that could state the limit has come yet.
+    _offer(chain, OFFERED_RATE, 0.4)
     assert registration.advertised.rate == 1.0
     assert len(limited.arrivals) <= 2
 
 
-def test_a_request_that_waits_for_the_rate_is_not_passed_on_once_the_application_leaves(make_chain):
+def test_a_request_that_waits_for_the_rate_limit_is_not_passed_on_after_the_application_leaves(make_chain):
     app = LimitedApplication()
     chain = make_chain(app)
     upstream = chain.upstreams[0]
@@ -208,7 +208,7 @@
     registration.advertised.note(4.0, monotonic())
     upstream.side._gate.update_rate()
     rate = upstream.limiter.rate
-    # Admitted ones whose bodies were late have used up what may arrive at once.
+    # Use up the burst, as admitted requests with late bodies would.
     while not rate.arrive(monotonic()):
         pass
     task = gevent.spawn(chain.request, "GET")
--- a/packages/lanedock-daemon/lanedock_daemon/path/tests/test_body_gate.py
+++ b/packages/lanedock-daemon/lanedock_daemon/path/tests/test_body_gate.py
@@ -1,5 +1,5 @@
 # SPDX-License-Identifier: BSD-3-Clause
-"""Tests that bodies are asked for when there is room for them, and refused unseen else."""
+"""Tests that bodies are requested only when the link has capacity, and refused before they are sent otherwise."""
 
 import gevent
 import pytest
@@ -22,8 +22,8 @@
 
 CONTINUE = b"HTTP/1.1 100 Continue\r\n\r\n"
 LONG = 200_000
-# Bodies of that length that fill a link of an unknown rate.
-FULL = 2
+# Number of bodies of that length that fill a link of unknown rate.
+BODIES_FILLING_LINK = 2
 
 
 def _head(length: int, path: str = "/x", target_ms: int | None = None, deadline_ms: int = 10_000) -> bytes:
@@ -43,7 +43,7 @@
 
 
 class Sender:
-    """A callers' side that sends its body when the test says so."""
+    """The caller's side of a request, which sends its body when the test calls `send`."""
 
     def __init__(self, upstream, length: int = LONG, **more):
         self.length = length
@@ -51,7 +51,7 @@
         self.conn.sendall(_head(length, **more))
 
     def has_silence(self) -> bool:
-        """Tell whether nothing has come."""
+        """Tell whether nothing has been received."""
         self.conn.settimeout(0)
         try:
             return not self.conn.recv(1, socket.MSG_PEEK)
@@ -85,14 +85,14 @@
 
 
 def _fill(upstream) -> list[Sender]:
-    """Let as many bodies in as the link takes, none of which comes."""
-    senders = [Sender(upstream, path=f"/{number}") for number in range(FULL)]
+    """Have the link's capacity taken by requested bodies that are not sent yet."""
+    senders = [Sender(upstream, path=f"/{number}") for number in range(BODIES_FILLING_LINK)]
     for sender in senders:
         sender.read_consent()
     return senders
 
 
-def test_a_body_is_asked_for_once_a_slot_is_there(make_upstream):
+def test_a_body_is_requested_only_when_a_slot_is_free(make_upstream):
     gate = Gate()
     upstream = make_upstream(gate, slots=1)
     first = Sender(upstream, ASK_LIMIT + 1, path="/first")
@@ -109,14 +109,14 @@
     assert second.read_answer().startswith("HTTP/1.1 200")
 
 
-def test_a_body_waits_while_others_come_and_takes_no_slot_meanwhile(make_upstream):
+def test_a_body_that_waits_for_the_link_takes_no_slot(make_upstream):
     upstream = make_upstream(slots=8)
     senders = _fill(upstream)
     last = Sender(upstream, path="/last")
     wait_until(lambda: upstream.side._gate.bodies.waiting == 1)
     assert last.has_silence()
-    assert upstream.limiter.in_use == FULL
-    assert upstream.side.in_progress == FULL + 1
+    assert upstream.limiter.in_use == BODIES_FILLING_LINK
+    assert upstream.side.in_progress == BODIES_FILLING_LINK + 1
     for sender in senders:
         sender.send()
         assert sender.read_answer().startswith("HTTP/1.1 200")
@@ -125,15 +125,13 @@
     assert last.read_answer().startswith("HTTP/1.1 200")
 
 
-def test_bodies_whose_requests_waited_for_slots_are_not_all_asked_for_at_once(make_upstream):
-    """What users saw: after a cut versions were in force late on daemons beside uploads.
+def test_bodies_of_requests_that_waited_for_slots_are_not_all_requested_at_once(make_upstream):
+    """Guards against a burst of bodies that fills the link and delays new versions to the daemon.
 
-    Order of events: an application hangs, and requests with bodies wait for its slots.
-    Their place on the link is free for others meanwhile, who then wait for slots, too. The
-    slots come free together, and all those bodies are asked for at once.
-
-    Cause: whether the link has room was judged before the wait for a slot, and not again.
-    Evidence: in a model 18 bodies of 60 kB, 2.2 s of a link of 500 kB/s.
+    While an application hangs, requests with bodies wait for slots, and their capacity on the link
+    goes to other requests, which then wait for slots, too. When the slots become free together,
+    the link's capacity has to be checked again before each body is requested. Without that check,
+    18 bodies of 60 kB were requested at once, which occupy a link of 500 kB/s for 2.2 s.
     """
     slots, gate = 6, Gate()
     upstream = make_upstream(gate, slots=slots, queue=24)
@@ -155,7 +153,7 @@
     wait_until(lambda: (upstream.limiter.in_use, upstream.side._gate.bodies.load()["body_bytes"]) == (0, 0))
 
 
-def test_requests_without_a_body_and_with_a_small_one_pass_a_full_link(make_upstream):
+def test_requests_without_a_body_or_with_a_small_one_are_admitted_when_the_link_is_full(make_upstream):
     upstream = make_upstream(slots=8)
     senders = _fill(upstream)
     small = Sender(upstream, ASK_LIMIT, path="/small")
@@ -166,22 +164,22 @@
     assert all(sender.has_silence() for sender in senders)
 
 
-def test_what_cannot_come_in_time_is_refused_unseen(make_upstream):
+def test_a_body_that_cannot_come_in_time_is_refused_before_it_is_sent(make_upstream):
     upstream = make_upstream(slots=8)
     senders = _fill(upstream)
-    # Its target time has passed: it waits for nothing.
+    # The target time has passed, so this request doesn't wait.
     answer = Sender(upstream, path="/late", target_ms=0).read_answer()
     assert answer.startswith("HTTP/1.1 503")
     assert f"{OUTCOME_HEADER}: {Outcome.NOT_RUN}" in answer
     assert f"{CODE_HEADER}: {ErrorCode.OVERLOADED.code}" in answer
-    # This one waits as long as it may.
+    # This request waits until its deadline.
     answer = Sender(upstream, path="/short", deadline_ms=100).read_answer()
     assert f"{OUTCOME_HEADER}: {Outcome.NOT_RUN}" in answer
     assert not upstream.application.runs
     assert upstream.limiter.in_use == len(senders)
 
 
-def test_whoever_goes_away_makes_room(make_upstream):
+def test_requests_whose_senders_disconnect_release_the_link_and_their_slots(make_upstream):
     upstream = make_upstream(slots=8)
     senders = _fill(upstream)
     waiting = [Sender(upstream, path=f"/waiting/{number}") for number in range(2)]
@@ -197,7 +195,7 @@
     wait_until(lambda: upstream.limiter.in_use == 0)
 
 
-def test_a_slow_large_body_has_no_others_refused(make_upstream):
+def test_a_slow_large_body_does_not_cause_refusals_of_others(make_upstream):
     upstream = make_upstream(slots=8)
     slow = Sender(upstream, 2_000_000, path="/slow", deadline_ms=60_000)
     slow.read_consent()
@@ -222,12 +220,12 @@
 
 
 class Scripted:
-    """Two upstreams' daemons at one address: the first request is refused, the second answered.
+    """Stands for two upstreams' daemons at one address; refuses the first request, answers the second.
 
     Attributes
     ----------
     heads, bodies : list of bytes
-        As they came; a body that is asked for comes with the second request only.
+        In the order received. A body that has to be requested comes with the second request only.
     """
 
     def __init__(self):
@@ -248,18 +246,18 @@
         with conn.makefile("rb") as stream:
             while head := _read_head(stream):
                 self.heads.append(head)
-                is_asked = b"expect: 100-continue" in head
+                is_body_requested = b"expect: 100-continue" in head
                 length = int(head.partition(b"content-length: ")[2].partition(b"\r\n")[0])
                 is_refused = len(self.heads) == 1
-                if is_asked and not is_refused:
+                if is_body_requested and not is_refused:
                     conn.sendall(CONTINUE)
-                if not (is_asked and is_refused):
+                if not (is_body_requested and is_refused):
                     self.bodies.append(stream.read(length))
                 conn.sendall(REFUSAL if is_refused else b"HTTP/1.1 200 OK\r\ncontent-length: 0\r\n\r\n")
 
 
 def _read_head(stream) -> bytes:
-    """Return a request's head; empty at the end."""
+    """Return the head of the next request; empty at the end of the stream."""
     lines = []
     while (line := stream.readline()) not in (b"", b"\r\n"):
         lines.append(line)
@@ -272,8 +270,8 @@
 
 
 @pytest.mark.parametrize("length", [ASK_LIMIT, ASK_LIMIT + 1, LONG])
-def test_callers_sides_ask_before_they_send_a_body_that_is_not_small(make_chain, length):
-    """What was refused goes elsewhere, whether its body was sent or not."""
+def test_the_callers_side_sends_a_body_above_the_ask_limit_only_on_request(make_chain, length):
+    """The refused request is retried at another upstream, whether its body was sent or not."""
     chain = make_chain(None)
     scripted = Scripted()
     chain.view.take_endpoints(scripted.endpoints())
@@ -287,8 +285,8 @@
     assert scripted.bodies == ([body, body] if is_small else [body])
 
 
-def test_an_application_sees_nothing_of_a_request_whose_body_never_came(make_chain):
-    """Its sender calls it not run, for it has sent nothing of the body."""
+def test_a_request_whose_body_never_came_does_not_reach_the_application(make_chain):
+    """The sending daemon reports the request as not run, because it has sent nothing of the body."""
     chain = make_chain(None)
     upstream = chain.upstreams[0]
     lines = ["POST /x HTTP/1.1", "Host: h", "Transfer-Encoding: chunked", "X-Lanedock-Service: s"]
@@ -299,7 +297,7 @@
     assert not upstream.application.runs
 
 
-def test_what_waits_for_the_link_when_the_process_ends_is_refused_unseen(make_upstream):
+def test_a_request_that_waits_for_the_link_when_the_process_stops_is_refused_as_not_run(make_upstream):
     upstream = make_upstream(slots=8)
     senders = _fill(upstream)
     last = Sender(upstream, path="/last")
@@ -315,8 +313,8 @@
     assert not upstream.application.runs
 
 
-def test_what_breaks_off_before_its_body_was_asked_for_goes_elsewhere(make_chain):
-    """A daemon that ends with requests in its queue: not run, also where they may not be repeated."""
+def test_a_request_that_breaks_off_before_its_body_was_requested_is_retried_at_another_upstream(make_chain):
+    """A daemon that ends has not run the requests in its queue, so any of them may be retried."""
     chain = make_chain(None)
     ended = StreamServer((HOST, 0), lambda conn, address: conn.recv(65536))
     ended.start()
@@ -331,7 +329,7 @@
     assert chain.runs() == 8
 
 
-def test_an_upstream_that_begins_to_leave_while_a_body_comes_does_not_get_it(make_upstream):
+def test_an_application_that_begins_to_leave_before_a_body_comes_does_not_get_the_request(make_upstream):
     upstream = make_upstream(slots=8)
     sender = Sender(upstream, path="/x")
     sender.read_consent()
--- a/packages/lanedock-daemon/lanedock_daemon/path/tests/test_cancellation.py
+++ b/packages/lanedock-daemon/lanedock_daemon/path/tests/test_cancellation.py
@@ -1,5 +1,5 @@
 # SPDX-License-Identifier: BSD-3-Clause
-"""Tests that a caller who leaves takes its request along, wherever that is by then."""
+"""Tests that a request is cancelled when its caller disconnects, at any stage of the request."""
 
 import gevent
 import pytest
@@ -9,7 +9,7 @@
 
 @pytest.fixture
 def gate():
-    """Make the work of an application."""
+    """Make an application script that answers when it is opened."""
     return Gate()
 
 
@@ -18,12 +18,12 @@
 
 
 def _is_idle(chain) -> bool:
-    """Tell whether no daemon has a request any more."""
+    """Tell whether no daemon has a request in progress or waiting."""
     limiters = [upstream.limiter for upstream in chain.upstreams]
     return not chain.entry.in_progress and not any(limiter.in_use + limiter.waiting for limiter in limiters)
 
 
-def test_before_its_request_was_read(make_chain, gate):
+def test_disconnecting_before_the_request_is_read_cancels_it(make_chain, gate):
     chain = make_chain(gate)
     conn = chain.connect()
     conn.sendall(_get("/begun")[:-2])
@@ -35,17 +35,17 @@
     assert gate.begun == ["/next"]
 
 
-def test_while_it_runs(make_chain, gate):
+def test_disconnecting_while_the_request_runs_cancels_it(make_chain, gate):
     chain = make_chain(gate)
     conn = chain.connect()
     conn.sendall(_get("/runs"))
     wait_until(lambda: gate.begun == ["/runs"])
     conn.close()
-    # The application is stopped, though it never answers by itself.
+    # The application never answers by itself, so its work ends only by the cancellation.
     wait_until(lambda: gate.cut == ["/runs"] and _is_idle(chain))
 
 
-def test_while_it_waits_in_the_queue_of_the_upstreams_daemon(make_chain, gate):
+def test_disconnecting_while_the_request_waits_in_the_upstreams_queue_cancels_it(make_chain, gate):
     chain = make_chain(gate, value=make_value(slots=1, queue=4))
     first, second = chain.connect(), chain.connect()
     first.sendall(_get("/first"))
@@ -59,7 +59,7 @@
     assert gate.begun == ["/first", "/next"]
 
 
-def test_while_its_request_is_pipelined_behind_another(make_chain, gate):
+def test_disconnecting_cancels_pipelined_requests_that_run(make_chain, gate):
     chain = make_chain(gate)
     conn = chain.connect()
     conn.sendall(_get("/one") + _get("/two"))
@@ -69,11 +69,11 @@
     assert len(gate.begun) == 2
 
 
-def test_while_it_is_pipelined_and_waits_in_the_queue(make_chain, gate):
+def test_disconnecting_cancels_a_pipelined_request_that_waits_in_the_queue(make_chain, gate):
     chain = make_chain(gate, value=make_value(slots=1, queue=4))
     conn = chain.connect()
     conn.sendall(_get("/one") + _get("/two"))
-    # Either may have the slot, and has it before the application has begun on it.
+    # Either request may hold the slot, and holds it before the application has started the request.
     wait_until(lambda: len(gate.begun) == 1 and chain.upstreams[0].limiter.waiting == 1)
     conn.close()
     wait_until(lambda: _is_idle(chain))
@@ -82,8 +82,8 @@
     assert len(gate.begun) == 2 and gate.begun[-1] == "/next"
 
 
-def test_while_a_second_upstream_works_on_it_too(make_chain, gate):
-    # Its answer is late, so it is sent elsewhere as well; both stop.
+def test_disconnecting_cancels_a_hedged_request_at_both_upstreams(make_chain, gate):
+    # The answer is late, so the request is also sent to the second upstream.
     chain = make_chain(gate, gate)
     conn = chain.connect()
     conn.sendall(_get("/late"))
@@ -92,7 +92,7 @@
     wait_until(lambda: gate.cut == ["/late", "/late"] and _is_idle(chain))
 
 
-def test_one_who_stays_is_answered(make_chain, gate):
+def test_a_caller_that_stays_connected_is_answered(make_chain, gate):
     chain = make_chain(gate)
     conn = chain.connect()
     conn.sendall(b"GET /stays HTTP/1.1\r\nhost: h\r\nconnection: close\r\n\r\n")
@@ -101,9 +101,9 @@
     assert read_all(conn).startswith(b"HTTP/1.1 200")
 
 
-def test_a_caller_that_goes_while_it_waits_gives_its_place_back(make_chain):
-    # Found on the platform: slots given to callers that had gone stayed taken,
-    # until the upstream refused everybody.
+def test_callers_that_disconnect_while_they_wait_release_their_places_in_the_queue(make_chain):
+    # Guards against slots that are given to disconnected callers and never released, until the
+    # upstream refuses all requests.
     gate = Gate()
     chain = make_chain(gate, value=make_value(slots=1, queue=8))
     limiter = chain.upstreams[0].limiter
@@ -122,7 +122,7 @@
     assert chain.request("GET", "/next")[0] == 200
 
 
-def test_an_answer_whose_turn_never_comes_gives_its_slot_back(make_chain):
+def test_a_pipelined_answer_that_is_never_sent_releases_its_slot(make_chain):
     def work(conn, head, body):
         if "/slow" in head:
             gevent.sleep(30)
--- a/packages/lanedock-daemon/lanedock_daemon/path/tests/test_crashes.py
+++ b/packages/lanedock-daemon/lanedock_daemon/path/tests/test_crashes.py
@@ -1,5 +1,5 @@
 # SPDX-License-Identifier: BSD-3-Clause
-"""Tests of applications that end under a request: what is noticed, suspected and refused."""
+"""Tests of applications that crash during a request: detection, suspicion and refusal."""
 
 import gevent
 import pytest
@@ -19,8 +19,8 @@
     return hasher.fingerprint()
 
 
-def _end(application: Application) -> None:
-    """End an application: its connections break, and it takes no new ones."""
+def _crash(application: Application) -> None:
+    """Crash an application: its connections break, and it accepts no new ones."""
     application.server.stop(timeout=0)
     for conn in application.connections:
         conn.close()
@@ -28,28 +28,28 @@
 
 @pytest.fixture
 def make_mesh(make_chain):
-    """Make a chain whose applications end under requests for `/poison`."""
+    """Make a chain whose applications crash on requests for `/poison`."""
 
     def make(count: int = 2):
         chain = make_chain(*[None] * count)
         for application in chain.applications:
-            application.script = _end_under_poison(application)
+            application.script = _crash_on_poison(application)
         return chain
 
     return make
 
 
-def _end_under_poison(application: Application):
-    """Make a script that ends its application under some requests."""
+def _crash_on_poison(application: Application):
+    """Make a script that crashes its application on requests for `/poison`."""
 
     def script(conn, head: str, body: bytes) -> bytes | None:
-        return _end(application) if " /poison " in head else OK
+        return _crash(application) if " /poison " in head else OK
 
     return script
 
 
 def _quarantine(view: LocalView, fingerprint: Fingerprint) -> None:
-    """Let a daemon know of three ends under a request."""
+    """Record `MAX_CRASHES` crashes during a request at a daemon, which quarantines the request."""
     for number in range(MAX_CRASHES):
         view.quarantine.note_crash(f"u{number}", [fingerprint], monotonic())
 
@@ -58,12 +58,12 @@
     return [upstream.view.quarantine.count(fingerprint) for upstream in chain.upstreams]
 
 
-def test_a_request_under_which_two_have_ended_is_not_sent_again(make_mesh):
+def test_a_request_that_crashed_two_upstreams_is_not_retried(make_mesh):
     chain = make_mesh(3)
     status, head, _ = chain.request("GET", "/poison")
     assert status == 502 and "x-request-code: LD3015" in head
     assert chain.runs("/poison") == 2
-    # The caller's daemon has learned it from the answers; its next try comes too soon.
+    # The caller's daemon has learned of the crashes from the answers, and refuses a retry within the pause.
     status, head, _ = chain.request("GET", "/poison")
     assert status == 503 and "x-request-code: LD3014" in head and "x-request-outcome: not-run" in head
     assert "retry-after: 10" in head
@@ -71,7 +71,7 @@
     assert chain.view.quarantine.count(_fingerprint("GET", "/poison")) == 2
 
 
-def test_what_ran_beside_it_is_served_elsewhere_and_cleared(make_chain):
+def test_a_request_that_ran_during_a_crash_is_served_by_another_upstream_and_cleared(make_chain):
     started = gevent.event.Event()
 
     def slow(conn, head: str, body: bytes) -> bytes | None:
@@ -83,15 +83,15 @@
     beside = gevent.spawn(chain.request, "GET", "/beside")
     started.wait()
     ended = next(application for application in chain.applications if application.runs["/beside"])
-    _end(ended)
+    _crash(ended)
     assert beside.get()[0] == 200
     fingerprint = _fingerprint("GET", "/beside")
     wait_until(lambda: sorted(_suspicions(chain, fingerprint)) in ([0, 0], [0, 1]))
     assert chain.runs("/beside") == 2
 
 
-def test_a_connection_that_breaks_by_itself_is_no_end(make_chain):
-    """The application goes on, and takes connections."""
+def test_a_broken_connection_alone_is_not_taken_for_a_crash(make_chain):
+    """The application continues to run and to accept connections."""
     chain = make_chain(lambda conn, head, body: None)
     for _ in range(MAX_CRASHES):
         status, head, _ = chain.request("POST", "/x", b"1")
@@ -100,8 +100,8 @@
     assert _suspicions(chain, _fingerprint("POST", "/x", b"1")) == [0]
 
 
-def test_an_application_that_refuses_connections_and_works_on_has_not_ended(make_chain):
-    """It is full, and one of its connections broke."""
+def test_an_application_that_refuses_connections_but_still_runs_has_not_crashed(make_chain):
+    """The application is overloaded, and one of its connections breaks."""
     opened = gevent.event.Event()
 
     def script(conn, head: str, body: bytes) -> bytes | None:
@@ -123,23 +123,23 @@
     assert _suspicions(chain, _fingerprint("POST", "/x", b"1")) == [0]
 
 
-def test_an_end_is_noticed_beside_an_upload_whose_caller_is_slow(make_mesh):
-    """Found by reading: the upload counted as still running, as nothing was read from its connection."""
+def test_a_crash_is_detected_during_an_upload_by_a_slow_caller(make_mesh):
+    """The upload must not hide the crash, although nothing is read from its connection meanwhile."""
     chain = make_mesh(1)
     conn = chain.connect()
     conn.sendall(b"POST /upload HTTP/1.1\r\nhost: h\r\ncontent-length: 100000\r\n\r\n" + bytes(1000))
     wait_until(lambda: chain.upstreams[0].limiter.in_use == 1 and chain.applications[0].connections)
-    # The application has the first piece of the body, and nothing more of it comes.
+    # The application has the first piece of the upload's body; the rest is never sent.
     assert chain.request("GET", "/poison")[0] == 502
     wait_until(lambda: _suspicions(chain, _fingerprint("GET", "/poison")) == [1])
 
 
-def test_an_end_is_noticed_beside_an_answer_whose_caller_is_slow(make_chain):
-    """The same of a long answer: its connection is not read from while the caller takes nothing."""
+def test_a_crash_is_detected_during_an_answer_to_a_slow_caller(make_chain):
+    """The answer must not hide the crash: its connection is not read from while the caller reads nothing."""
 
     def script(conn, head: str, body: bytes) -> bytes | None:
         if " /poison " in head:
-            return _end(chain.applications[0])
+            return _crash(chain.applications[0])
         conn.sendall(b"HTTP/1.1 200 OK\r\ncontent-length: 50000000\r\n\r\n" + bytes(100_000))
         begun.set()
         conn.sendall(bytes(49_900_000))
@@ -155,19 +155,19 @@
     wait_until(lambda: _suspicions(chain, _fingerprint("GET", "/poison")) == [1])
 
 
-def test_an_application_that_was_leaving_has_ended_as_it_was_to(make_chain):
+def test_the_end_of_a_leaving_application_is_not_taken_for_a_crash(make_chain):
     chain = make_chain(None)
     registration = chain.upstreams[0].side._registration
-    chain.applications[0].script = lambda conn, head, body: (registration.leave(""), _end(chain.applications[0]))[1]
+    chain.applications[0].script = lambda conn, head, body: (registration.leave(""), _crash(chain.applications[0]))[1]
     assert chain.request("POST", "/x", b"1")[0] == 502
     gevent.sleep(0.3)
     assert _suspicions(chain, _fingerprint("POST", "/x", b"1")) == [0]
 
 
-def test_what_an_application_has_served_lately_is_not_suspected(make_chain):
+def test_a_request_that_the_application_has_lately_served_is_not_suspected(make_chain):
     chain = make_chain(None)
     assert chain.request("GET", "/popular")[0] == 200
-    chain.applications[0].script = lambda conn, head, body: _end(chain.applications[0])
+    chain.applications[0].script = lambda conn, head, body: _crash(chain.applications[0])
     assert chain.request("GET", "/popular")[0] >= 500
     gevent.sleep(0.3)
     assert _suspicions(chain, _fingerprint("GET", "/popular")) == [0]
@@ -184,7 +184,7 @@
 
 @pytest.mark.parametrize("is_chunked", [False, True])
 @pytest.mark.parametrize("body", [b"12", LARGE])
-def test_a_body_is_told_from_one_that_differs_in_its_last_byte(make_chain, body, is_chunked):
+def test_a_request_whose_body_differs_in_its_last_byte_is_not_quarantined(make_chain, body, is_chunked):
     chain = make_chain(None)
     upstream = chain.upstreams[0]
     _quarantine(upstream.view, _fingerprint("POST", "/x", body))
@@ -197,7 +197,7 @@
     assert upstream.limiter.in_use == 0 and upstream.side._gate.bodies.load()["body_bytes"] == 0
 
 
-def test_another_customers_request_is_another_one(make_chain):
+def test_the_same_request_of_another_customer_is_not_quarantined(make_chain):
     chain = make_chain(None)
     _quarantine(chain.upstreams[0].view, _fingerprint("GET", "/x", customer="a"))
     assert chain.request("GET", headers="Authorization: a\r\n")[0] == 503
@@ -205,8 +205,8 @@
 
 
 @pytest.mark.parametrize("crashes, runs", [(0, 2), (1, 1)])
-def test_a_suspect_is_not_sent_to_a_second_upstream_because_it_is_late(make_chain, crashes, runs):
-    """The first answer is later than nearly all; the one that is hedged has two runs."""
+def test_a_suspect_request_is_not_hedged(make_chain, crashes, runs):
+    """The answer is late enough to hedge; a hedged request runs twice."""
 
     def script(conn, head: str, body: bytes) -> bytes:
         gevent.sleep(0.7)
@@ -220,19 +220,19 @@
 
 
 class _HeadReader(Application):
-    """Ends once it has the head of a request and the first piece of its body."""
+    """Crashes when it has received the head of a request and the first piece of its body."""
 
     def _serve_one(self, conn) -> bool:
         data = conn.recv(65536)
         if data:
             self.runs["begun"] += 1
-            _end(self)
+            _crash(self)
         return False
 
 
 @pytest.mark.parametrize("is_chunked", [False, True])
-def test_a_body_of_which_only_a_part_had_come_is_known_again(make_chain, is_chunked):
-    """Found by reading: the digest was that of the part, which differs each time."""
+def test_a_request_whose_body_came_only_in_part_has_the_same_fingerprint_in_both_crashes(make_chain, is_chunked):
+    """The fingerprint must be that of the whole body, not of the part received, whose length varies."""
     chain = make_chain(None, None)
     body = bytes(300_000)
     ending = [_HeadReader(), _HeadReader()]
@@ -240,18 +240,18 @@
         upstream.side._application = application.address
         upstream.side._crashes._application = application.address
     while sum(application.runs["begun"] for application in ending) < 2:
-        # Not run where it comes to the one that has ended already.
+        # 503 if the request is sent to the application that has already crashed.
         assert _send(chain, body, is_chunked)[0] in (502, 503)
     assert chain.view.quarantine.count(_fingerprint("POST", "/x", body)) == 2
 
 
-def test_what_may_have_run_is_not_said_to_be_not_run_by_a_later_refusal(make_mesh):
-    """Found by reading: a refusal that ended the tries was the answer, whatever the ones before had come to."""
+def test_a_later_refusal_does_not_report_a_request_that_may_have_run_as_not_run(make_mesh):
+    """A final refusal must not replace the unknown outcome of an earlier attempt."""
     chain = make_mesh()
     first, other = chain.upstreams
     _quarantine(other.view, _fingerprint("GET", "/poison"))
     while not chain.runs("/poison"):
-        # Where the one that has it quarantined is chosen first it is not run, and that is said.
+        # If the upstream with the quarantined request is chosen first, the answer is "not run".
         status, head, _ = chain.request("GET", "/poison")
     assert first.application.runs["/poison"] == 1
     assert status == 502 and "x-request-outcome: unknown" in head
--- a/packages/lanedock-daemon/lanedock_daemon/path/tests/test_job.py
+++ b/packages/lanedock-daemon/lanedock_daemon/path/tests/test_job.py
@@ -1,5 +1,5 @@
 # SPDX-License-Identifier: BSD-3-Clause
-"""Tests of what all tries of a request have in common."""
+"""Tests of the state shared by all attempts at one request."""
 
 import pytest
 
@@ -9,7 +9,7 @@
 
 
 class _Balancer:
-    """Keeps whether it was asked for a request with a long body."""
+    """Records whether an upstream was chosen for a request with a long body."""
 
     def choose(self, slots, now, excluded, is_long, may_wait=True):
         self.is_long = is_long
@@ -25,11 +25,11 @@
         ({}, 10, False),
         ({"upload": True}, 10, True),
         ({"download": True}, 10, True),
-        # The body itself is longer than what is kept.
+        # The body is longer than the replay limit.
         ({}, -1, True),
     ],
 )
-def test_routes_with_long_bodies_are_chosen_for_as_such(flags, limit, expected):
+def test_the_balancer_is_told_of_routes_and_requests_with_long_bodies(flags, limit, expected):
     request = Request("GET", "/x", "h", [], ReplayBody(EmptyBody(), limit))
     balancer = _Balancer()
     job = Job(request, [], Route("r", "/", "s", **flags), _Service(), balancer, None, 1.0, 1.0, None)
--- a/packages/lanedock-daemon/lanedock_daemon/path/tests/test_promises.py
+++ b/packages/lanedock-daemon/lanedock_daemon/path/tests/test_promises.py
@@ -1,5 +1,5 @@
 # SPDX-License-Identifier: BSD-3-Clause
-"""Tests of the promises to callers: at most once, whole answers, true refusals."""
+"""Tests of the guarantees to callers: at-most-once execution, complete answers, correct outcomes."""
 
 import json
 from collections import Counter
@@ -19,15 +19,15 @@
 OK = b"HTTP/1.1 200 OK\r\ncontent-length: 2\r\n\r\nok"
 
 
-def _die_after_reading(conn, head, body):
+def _close_after_reading(conn, head, body):
     return None
 
 
-def _cut(conn, head, body):
+def _truncate(conn, head, body):
     conn.sendall(b"HTTP/1.1 200 OK\r\ncontent-length: 100\r\n\r\nhalf of it")
 
 
-def _cut_chunked(conn, head, body):
+def _truncate_chunked(conn, head, body):
     conn.sendall(b"HTTP/1.1 200 OK\r\ntransfer-encoding: chunked\r\n\r\n5\r\nhello\r\n")
 
 
@@ -35,7 +35,7 @@
     gevent.sleep(30)
 
 
-def _talk_nonsense(conn, head, body):
+def _answer_malformed(conn, head, body):
     return b"nonsense\r\n\r\n"
 
 
@@ -43,7 +43,7 @@
     return json.loads(answer[2])["outcome"]
 
 
-def test_an_answer_is_passed_on_whole(make_chain):
+def test_an_answer_is_passed_on_completely(make_chain):
     chain = make_chain(lambda conn, head, body: b"HTTP/1.1 201 Made\r\ncontent-length: %d\r\n\r\n" % len(body) + body)
     body = bytes(range(256)) * 4000
     status, head, got = chain.request("POST", body=body)
@@ -51,14 +51,14 @@
     assert "x-lanedock" not in head
 
 
-def test_a_chunked_body_is_passed_on_both_ways(make_chain):
+def test_a_chunked_answer_is_passed_on_chunked(make_chain):
     chunked = b"HTTP/1.1 200 OK\r\ntransfer-encoding: chunked\r\n\r\n3\r\nabc\r\n0\r\n\r\n"
     chain = make_chain(lambda conn, head, body: chunked)
     request = b"GET /x HTTP/1.1\r\nhost: h\r\nconnection: close\r\n\r\n"
     assert chain.send(request).endswith(b"3\r\nabc\r\n0\r\n\r\n")
 
 
-def test_head_has_no_body_and_connections_stay_usable(make_chain):
+def test_answers_to_head_have_no_body_and_leave_connections_usable(make_chain):
     chain = make_chain(
         lambda conn, head, body: b"HTTP/1.1 200 OK\r\ncontent-length: 9\r\n\r\n" if head.startswith("HEAD") else OK
     )
@@ -67,8 +67,8 @@
         assert (status, body) == (200, b"" if method == "HEAD" else b"ok")
 
 
-@pytest.mark.parametrize("script", [_die_after_reading, _talk_nonsense])
-def test_a_request_that_may_not_be_repeated_runs_once_and_is_told_unknown(make_chain, script):
+@pytest.mark.parametrize("script", [_close_after_reading, _answer_malformed])
+def test_a_request_that_may_not_be_repeated_runs_once_and_is_reported_as_unknown(make_chain, script):
     chain = make_chain(script, script, script)
     answer = chain.request("POST", body=b"3 ibises")
     assert answer[0] == 502
@@ -76,13 +76,13 @@
     assert chain.runs() == 1
 
 
-def test_a_request_that_may_be_repeated_is_tried_elsewhere(make_chain):
-    chain = make_chain(_die_after_reading, None)
+def test_a_request_that_may_be_repeated_is_retried_at_another_upstream(make_chain):
+    chain = make_chain(_close_after_reading, None)
     for _ in range(4):
         assert chain.request("GET")[0] == 200
 
 
-def test_what_was_refused_before_it_ran_is_tried_elsewhere(make_chain):
+def test_a_request_that_was_refused_before_it_ran_is_retried_at_another_upstream(make_chain):
     chain = make_chain(None, None)
     chain.applications[0].server.stop()
     for number in range(6):
@@ -90,7 +90,7 @@
         assert chain.runs(f"/{number}") == 1
 
 
-def test_a_long_body_that_was_refused_goes_elsewhere_unread(make_chain):
+def test_a_refused_request_with_a_long_body_is_retried_at_another_upstream(make_chain):
     chain = make_chain(None, None)
     chain.upstreams[0].view.is_draining = True
     body = b"." * 3_000_000
@@ -100,7 +100,7 @@
 
 
 def test_a_retry_is_not_retried_by_the_next_hop(make_chain):
-    chain = make_chain(_die_after_reading, _die_after_reading, _die_after_reading)
+    chain = make_chain(_close_after_reading, _close_after_reading, _close_after_reading)
     chain.request("GET", "/first")
     assert chain.runs("/first") == 3
     attempts = [_attempt(head) for application in chain.applications for head in application.heads]
@@ -113,7 +113,7 @@
     return head.partition("x-request-attempt: ")[2].partition("\r\n")[0]
 
 
-def test_nothing_there_is_told_as_not_run(make_chain):
+def test_a_request_without_a_reachable_upstream_is_reported_as_not_run(make_chain):
     chain = make_chain(None)
     chain.upstreams[0].server.stop()
     answer = chain.request("POST", body=b"x")
@@ -122,8 +122,8 @@
     assert "retry-after" in answer[1]
 
 
-@pytest.mark.parametrize("script", [_cut, _cut_chunked])
-def test_a_cut_answer_reaches_the_caller_as_a_cut_one(make_chain, script):
+@pytest.mark.parametrize("script", [_truncate, _truncate_chunked])
+def test_a_truncated_answer_reaches_the_caller_as_truncated(make_chain, script):
     chain = make_chain(script)
     request = b"POST /x HTTP/1.1\r\nhost: h\r\ncontent-length: 0\r\nconnection: close\r\n\r\n"
     got = chain.send(request)
@@ -133,7 +133,7 @@
     wait_until(lambda: chain.upstreams[0].limiter.in_use == 0)
 
 
-def test_a_connection_that_closed_while_idle_is_not_used_again(make_chain):
+def test_a_connection_that_closed_while_idle_is_not_reused(make_chain):
     chain = make_chain(None)
     assert chain.request("POST", "/1", b"x")[0] == 200
     for conn in chain.applications[0].connections:
@@ -164,7 +164,7 @@
     return value
 
 
-def test_a_slow_upstream_is_told_unknown_at_the_deadline(make_chain):
+def test_a_request_to_a_slow_upstream_is_reported_as_unknown_at_the_deadline(make_chain):
     chain = make_chain(_be_slow, value=_with_deadline(200))
     answer = chain.request("POST", body=b"x")
     assert answer[0] == 504
@@ -173,14 +173,14 @@
     wait_until(lambda: chain.upstreams[0].limiter.in_use == 0)
 
 
-def test_no_work_begins_past_its_deadline(make_chain):
+def test_a_request_past_its_deadline_is_not_run(make_chain):
     chain = make_chain(None)
     answer = chain.request("POST", body=b"x", headers="x-request-deadline-ms: 0\r\n")
     assert _outcome(answer) == "not-run"
     assert chain.runs() == 0
 
 
-def test_a_caller_that_goes_takes_its_request_along(make_chain):
+def test_a_request_is_cancelled_when_its_caller_disconnects(make_chain):
     chain = make_chain(_be_slow)
     conn = chain.connect()
     conn.sendall(b"GET /x HTTP/1.1\r\nhost: h\r\n\r\n")
@@ -190,7 +190,7 @@
     assert chain.runs() == 1
 
 
-def test_a_draining_upstream_refuses_and_another_serves(make_chain):
+def test_a_request_refused_by_a_draining_upstream_is_served_by_another(make_chain):
     chain = make_chain(None, None)
     chain.upstreams[0].view.is_draining = True
     for number in range(10):
@@ -198,33 +198,33 @@
     assert chain.applications[0].runs.total() == 0
 
 
-def test_a_drain_told_by_the_application_is_obeyed_at_once(make_chain):
+def test_a_drain_stated_by_the_application_applies_at_once(make_chain):
     chain = make_chain(lambda conn, head, body: OK.replace(b"OK\r\n", b"OK\r\nx-upstream-draining: 1\r\n"))
     assert "x-upstream-draining" not in chain.request("GET")[1]
     assert _outcome(chain.request("POST", "/2", b"x")) == "not-run"
     assert chain.runs("/2") == 0
 
 
-def test_a_planned_stop_lets_requests_end(make_chain):
+def test_a_planned_stop_lets_requests_in_progress_end(make_chain):
     def work(conn, head, body):
         gevent.sleep(0.3)
         return OK
 
     chain = make_chain(work)
-    jobs = [gevent.spawn(chain.request, "POST", f"/{number}", b"x") for number in range(4)]
+    tasks = [gevent.spawn(chain.request, "POST", f"/{number}", b"x") for number in range(4)]
     wait_until(lambda: sum(chain.runs(f"/{number}") for number in range(4)) == 4)
     for server in (chain.entry, chain.upstreams[0].server):
         server.stop()
-    assert [job.get()[0] for job in jobs] == [200] * 4
+    assert [task.get()[0] for task in tasks] == [200] * 4
 
 
-def test_a_request_keeps_its_version_to_the_end(make_chain):
+def test_a_request_keeps_its_configuration_version_to_the_end(make_chain):
     def work(conn, head, body):
         gevent.sleep(0.2)
         return OK
 
     chain = make_chain(work)
-    job = gevent.spawn(chain.request, "GET")
+    task = gevent.spawn(chain.request, "GET")
     wait_until(lambda: chain.runs() == 1)
     without = make_value(2)
     without["services"][0]["name"] = "other"
@@ -232,12 +232,12 @@
         route["service"] = "other"
     put_in_force(chain.view, without, True)
     put_in_force(chain.upstreams[0].view, without, False)
-    assert job.get()[0] == 200
-    # The new version leads to a service that nobody runs.
+    assert task.get()[0] == 200
+    # The new version routes to a service that no upstream runs.
     assert _outcome(chain.request("GET")) == "not-run"
 
 
-def test_a_daemon_that_does_not_hold_the_service_refuses(make_chain):
+def test_a_daemon_whose_configuration_lacks_the_service_refuses(make_chain):
     chain = make_chain(None)
     without = make_value(2)
     without["services"][0]["name"] = "other"
@@ -256,7 +256,7 @@
     assert chain.request("GET")[0] == 200
 
 
-def test_what_only_daemons_say_is_not_believed_from_others(make_chain):
+def test_headers_reserved_for_daemons_are_ignored_from_callers_and_applications(make_chain):
     spoof = OK.replace(b"OK\r\n", b"OK\r\nx-request-outcome: not-run\r\nx-lanedock-leaving: 1\r\n")
     chain = make_chain(lambda conn, head, body: spoof)
     status, head, _ = chain.request("POST", body=b"x", headers="x-lanedock-class: none\r\nx-lanedock-attempt: 9\r\n")
@@ -266,7 +266,7 @@
     assert chain.request("GET")[0] == 200
 
 
-def test_a_lost_upstream_is_found_again_by_probes_and_not_by_requests(make_chain):
+def test_an_unreachable_upstream_is_found_again_by_probes_and_not_by_requests(make_chain):
     chain = make_chain(None, None)
     lost = chain.upstreams[0]
     address = Address("127.0.0.1", lost.server.port)
@@ -288,7 +288,7 @@
     assert lost.application.runs.total() > 0
 
 
-def test_a_caller_that_goes_just_as_its_answer_is_found_late_leaves_nothing_behind(make_chain):
+def test_a_caller_that_disconnects_when_its_request_is_hedged_leaves_nothing_in_progress(make_chain):
     chain = make_chain(_be_slow, _be_slow)
     balancer = chain.view.balancer("s")
     choose, calls = balancer.choose, []
@@ -296,7 +296,7 @@
     def choose_once(*arguments, **more):
         calls.append(arguments)
         if len(calls) > 1:
-            # The task that waits for the first answer was made, and has not run yet.
+            # The task that waits for the first answer has been created but has not run yet.
             raise gevent.GreenletExit
         return choose(*arguments, **more)
 
@@ -308,7 +308,7 @@
         wait_until(lambda upstream=upstream: upstream.limiter.in_use == 0)
 
 
-def test_what_does_not_fit_into_its_part_of_a_split_is_refused_and_not_moved(make_chain):
+def test_requests_for_an_unavailable_service_of_a_split_route_are_refused_and_not_moved(make_chain):
     value = make_value()
     value["services"].append({"name": "full", "zones": ["z"], "slots": 4})
     route = next(route for route in value["routes"] if route["name"] == "get")
@@ -316,17 +316,17 @@
     route["split"] = [{"service": "s", "weight": 50}, {"service": "full", "weight": 50}]
     chain = make_chain(None, value=value)
     chain.entry.side._rng = Random(3)
-    # The other part has no upstream at all; its share must not go to this one.
+    # The other service has no upstream; its share must not go to this service.
     statuses = Counter(chain.request("GET")[0] for _ in range(100))
     assert statuses.keys() == {200, 503}
     assert 35 <= statuses[200] <= 65
 
 
-def test_a_time_to_come_back_under_a_second_reaches_the_caller(make_chain):
+def test_a_retry_time_under_a_second_reaches_the_caller(make_chain):
     gate = Gate()
     chain = make_chain(gate, value=make_value(slots=1, queue=0))
     limiter = chain.upstreams[0].limiter
-    # What the limiter has seen take 20 ms asks nobody to wait for a second.
+    # After a service time of 20 ms the limiter must not ask callers to wait for a second.
     limiter.acquire("read", AdmissionRequest(1e9), 0.0, None)
     limiter.release("read", 0.02, 0.0)
     first = chain.connect()
@@ -338,8 +338,8 @@
     assert 0 < json.loads(body)["retry_after_ms"] < 700
 
 
-def test_a_request_that_is_read_just_as_its_connection_is_ended_is_answered(make_chain):
-    # Found on the platform: a stop found a kept connection idle, and ended it with the request just read.
+def test_a_request_that_is_read_while_its_idle_connection_expires_is_answered(make_chain):
+    # Guards against a stop that finds a connection idle and closes it although a request has just been read.
     gate = Gate()
     chain = make_chain(gate)
     conn = chain.connect()
@@ -347,14 +347,14 @@
     connection = next(iter(chain.entry._connections))
     conn.sendall(b"GET /x HTTP/1.1\r\nhost: h\r\n\r\n")
     wait_until(lambda: chain.runs("/x") == 1)
-    # What `end_if_idle` has scheduled before the request was read.
+    # The call that `end_if_idle` schedules before the request is read.
     connection.expire()
     gevent.sleep(0.05)
     gate.opened.set()
     assert conn.recv(65536).startswith(b"HTTP/1.1 200")
 
 
-def test_a_stop_under_requests_answers_each_that_it_has_read(make_chain):
+def test_a_stop_under_load_answers_every_request_that_was_read(make_chain):
     chain = make_chain(None)
     outcomes = Counter()
 
@@ -378,5 +378,5 @@
     chain.entry.stop()
     gevent.joinall(callers, timeout=10)
     assert all(caller.ready() for caller in callers)
-    # Each that was passed on was answered; what was not read was not run.
+    # Every request that was passed on was answered, and none that was not read has run.
     assert chain.runs("/x") == outcomes["answered"]
--- a/packages/lanedock-daemon/lanedock_daemon/path/tests/test_urgency.py
+++ b/packages/lanedock-daemon/lanedock_daemon/path/tests/test_urgency.py
@@ -1,5 +1,5 @@
 # SPDX-License-Identifier: BSD-3-Clause
-"""Tests that a call is as urgent as the requests for which it is made, and no more."""
+"""Tests that a call is not admitted as more urgent than the request for which it is made."""
 
 import gevent
 import pytest
@@ -8,7 +8,7 @@
 from lanedock_daemon.path.http import EmptyBody, Request
 from lanedock_daemon.path.tests.chain import Gate, wait_until
 
-# In the chain's file "write" is more urgent than "read".
+# In the configuration of the chain, "write" is more urgent than "read".
 URGENT, LESS_URGENT = "write", "read"
 
 
@@ -27,11 +27,11 @@
         (LESS_URGENT, URGENT, "front", LESS_URGENT),
         (URGENT, "", "front", URGENT),
         (URGENT, "unknown", "front", URGENT),
-        # Callers beside the service itself send it, too: it is no call.
+        # The service itself sends this kind of request, too, so it is not a call of another service.
         (URGENT, LESS_URGENT, "s", URGENT),
     ],
 )
-def test_a_call_takes_over_a_less_urgent_parents_class(make_chain, own, parent, caller, expected):
+def test_a_call_is_admitted_under_the_class_of_a_less_urgent_parent(make_chain, own, parent, caller, expected):
     chain = make_chain(None)
     side, binding = chain.upstreams[0].side, chain.upstreams[0].view.bind()
     for _ in range(100):
@@ -39,7 +39,7 @@
     assert side._gate.classify(_request("check", own, parent, "front"), binding) == expected
 
 
-def test_a_daemon_says_what_its_application_works_on(make_chain):
+def test_the_parent_class_follows_the_requests_that_the_application_runs(make_chain):
     gate = Gate()
     chain = make_chain(gate)
     view = chain.upstreams[0].view
