--- a/packages/lanedock-daemon/lanedock_daemon/__init__.py
+++ b/packages/lanedock-daemon/lanedock_daemon/__init__.py
@@ -1,4 +1,4 @@
 # SPDX-License-Identifier: BSD-3-Clause
-"""lanedockd: the process in every instance's slot and on the control instances."""
+"""The process lanedockd, which runs on every instance and on the control instances."""
 
 __all__: list[str] = []
--- a/packages/lanedock-daemon/lanedock_daemon/digests.py
+++ b/packages/lanedock-daemon/lanedock_daemon/digests.py
@@ -1,16 +1,16 @@
 # SPDX-License-Identifier: BSD-3-Clause
-"""Where digests come from."""
+"""Selection of the implementation of digests."""
 
 import sys
 
-__all__ = ["leave_out_openssl"]
+__all__ = ["disable_openssl_digests"]
 
 
-def leave_out_openssl() -> None:
-    """Have `hashlib`, which is imported later, use the interpreter's own digests.
+def disable_openssl_digests() -> None:
+    """Make `hashlib`, which is imported later, use the interpreter's built-in digests.
 
-    OpenSSL's library takes 3.6 MB of each process, a tenth (VmRSS of a daemon). Its SHA-256 is
-    ten times as fast, which here is 4 ms for a whole version of 5,560 routes, and 0.1 ms for a
-    change of one. With TLS the library is loaded all the same.
+    OpenSSL's library takes 3.6 MB of resident memory, a tenth of a daemon's. Its SHA-256 is ten
+    times as fast, but saves only 4 ms on a whole version of 5,560 routes, and 0.1 ms on a change
+    of one route. With TLS the library is loaded anyway.
     """
     sys.modules["_hashlib"] = None
--- a/packages/lanedock-daemon/lanedock_daemon/framed.py
+++ b/packages/lanedock-daemon/lanedock_daemon/framed.py
@@ -1,7 +1,7 @@
 # SPDX-License-Identifier: BSD-3-Clause
 """The framed transport: protobuf messages with a length in front, on gevent sockets.
 
-A connection begins with one byte that says what it is for; frames follow.
+The first byte of a connection names its purpose; frames follow.
 """
 
 import gevent
@@ -11,8 +11,8 @@
 from lanedock.kernel import Kernel, TaskService
 from lanedock.settings import Address
 from lanedock.wire import messages
-from lanedock_daemon.framed_links import FOR_REPLICAS, FramedLinks, serve_replica
-from lanedock_daemon.frames import FrameWriter, connect, run_both, tune
+from lanedock_daemon.framed_links import PURPOSE_REPLICAS, FramedLinks, serve_replica
+from lanedock_daemon.frames import FrameWriter, connect, exchange_frames, set_socket_options
 from lanedock_daemon.sessions import ChildArrived, ChildLeft, ChildReported
 from lanedock_daemon.transport import (
     Listener,
@@ -26,19 +26,20 @@
 
 __all__ = ["FramedTransport"]
 
-# What a connection's first byte says that it is for.
-_FOR_DAEMONS = b"D"
+# First byte of a connection that carries a daemon's stream.
+_PURPOSE_DAEMONS = b"D"
+# Connections that the kernel queues until they are accepted.
 BACKLOG = 1024
 
 
 class _FramedSource(SourceStream):
-    """A stream from a source."""
+    """A daemon's stream from a source, over frames."""
 
     def __init__(self, owner: TaskService, address: Address, context):
         super().__init__(owner, address)
         self._context = context
         self._writer: FrameWriter | None = None
-        self._early: list[bytes] = []
+        self._unsent: list[bytes] = []
         self._task = None
         self._is_closed = False
 
@@ -48,24 +49,24 @@
     def _run(self, first: bytes) -> None:
         reason = "closed"
         try:
-            conn = connect(self.address, _FOR_DAEMONS, self._context, self.connect_limit)
+            conn = connect(self.address, _PURPOSE_DAEMONS, self._context, self.connect_limit)
             self._writer = FrameWriter(conn)
-            for data in (first, *self._early):
+            for data in (first, *self._unsent):
                 self._writer.put(data)
             if not self._is_closed:
-                reason = run_both(conn, self._writer, self._take)
+                reason = exchange_frames(conn, self._writer, self._handle_message)
         except OSError as exc:
             reason = repr(exc)
         self._owner.post(SourceEnded(self, reason))
 
-    def _take(self, data: bytes) -> None:
+    def _handle_message(self, data: bytes) -> None:
         self._owner.post(SourceSent(self, messages.ControlMessage.FromString(data)))
 
     def send(self, message: messages.DaemonMessage) -> None:
         data = message.SerializeToString()
         if self._writer is None:
-            # Sent once there is a connection: whoever sends it takes it for sent.
-            self._early.append(data)
+            # Kept until the connection is established: the caller does not send it again.
+            self._unsent.append(data)
         else:
             self._writer.put(data)
 
@@ -76,7 +77,7 @@
 
 
 class _FramedSession(Session):
-    """A daemon's stream, on the server's side."""
+    """The server's side of a daemon's stream, over frames."""
 
     def __init__(self, writer: FrameWriter):
         super().__init__()
@@ -103,13 +104,13 @@
 
 
 class FramedTransport(Transport):
-    """Frames on gevent sockets; mutual TLS where settings have it."""
+    """Transport of frames over gevent sockets, with mutual TLS if the settings configure it."""
 
     def start(self, kernel: Kernel) -> None:
-        """Nothing to do."""
+        """Do nothing: this transport needs no other service."""
 
     def stop(self) -> None:
-        """Nothing to do: streams end with their owners."""
+        """Do nothing: each stream is closed by the task that owns it."""
 
     def _client_context(self):
         if self._tls is None:
@@ -132,24 +133,24 @@
         return FramedLinks(addresses, self._client_context())
 
     def serve_daemons(self, owner: TaskService, address: Address) -> Listener:
-        return self._serve(owner, address, {_FOR_DAEMONS: _serve_daemon})
+        return self._serve(owner, address, {_PURPOSE_DAEMONS: _serve_daemon})
 
     def serve_control(self, owner: TaskService, address: Address) -> Listener:
-        return self._serve(owner, address, {_FOR_DAEMONS: _serve_daemon, FOR_REPLICAS: serve_replica})
+        return self._serve(owner, address, {_PURPOSE_DAEMONS: _serve_daemon, PURPOSE_REPLICAS: serve_replica})
 
     def _serve(self, owner: TaskService, address: Address, handlers: dict) -> Listener:
         context = self._server_context()
 
         def accept(conn, peer) -> None:
             try:
-                tune(conn)
+                set_socket_options(conn)
                 if context is not None:
                     conn = context.wrap_socket(conn, server_side=True)
                 handler = handlers.get(conn.recv(1))
                 if handler is not None:
                     handler(owner, conn)
             except OSError:
-                pass  # the peer has gone; it comes back by itself
+                pass  # the peer has disconnected, and reconnects on its own
             finally:
                 conn.close()
 
@@ -157,24 +158,24 @@
         try:
             server.start()
         except OSError as exc:
-            raise LanedockError(ErrorCode.ADDRESS_TAKEN, f"{address}: {exc}") from exc
+            raise LanedockError(ErrorCode.ADDRESS_TAKEN, f"cannot listen on {address}: {exc}") from exc
         return _FramedListener(server)
 
 
 def _serve_daemon(owner: TaskService, conn) -> None:
-    """Turn a daemon's stream into messages to the task that owns the sessions."""
+    """Post a daemon's messages to the task that owns the sessions."""
     writer = FrameWriter(conn)
     session = _FramedSession(writer)
     has_arrived = False
 
-    def take(data: bytes) -> None:
+    def handle_message(data: bytes) -> None:
         nonlocal has_arrived
         message = messages.DaemonMessage.FromString(data)
         owner.post(ChildReported(session, message) if has_arrived else ChildArrived(session, message))
         has_arrived = True
 
     try:
-        run_both(conn, writer, take)
+        exchange_frames(conn, writer, handle_message)
     finally:
         if has_arrived:
             owner.post(ChildLeft(session))
--- a/packages/lanedock-daemon/lanedock_daemon/framed_links.py
+++ b/packages/lanedock-daemon/lanedock_daemon/framed_links.py
@@ -10,26 +10,27 @@
 from lanedock.kernel import TaskService
 from lanedock.settings import Address
 from lanedock.wire import messages
-from lanedock_daemon.frames import EMPTY_FRAME, FrameWriter, connect, end_connection, read_frames, run_both
+from lanedock_daemon.frames import EMPTY_FRAME, FrameWriter, connect, exchange_frames, read_frames, shut_down
 from lanedock_daemon.transport import CONFIRMATIONS, SILENCE_LIMIT, PeerLinks, PeerMessageArrived
 
-__all__ = ["FOR_REPLICAS", "FramedLinks", "serve_replica"]
+__all__ = ["PURPOSE_REPLICAS", "FramedLinks", "serve_replica"]
 
-# What a connection's first byte says that it is for.
-FOR_REPLICAS = b"R"
+# First byte of a connection that carries a replica's messages.
+PURPOSE_REPLICAS = b"R"
+# Limits of the delay between two connection attempts, in seconds. The upper one is short:
+# replicas that were killed together return within tenths of a second of each other,
+# and there are at most seven of them.
 RECONNECT_MIN = 0.05
-# Replicas that were killed together come back within tenths of a second of each
-# other; there are seven of them at the most.
 RECONNECT_MAX = 0.2
-# A link that nothing was sent over for this long, in seconds, is to a replica that
-# was replaced: those that take part are sent something every second.
-UNUSED_LIMIT = 30.0
-# Messages to a replica that can't be reached now; older ones are dropped.
+# Seconds without a message to send after which a link is closed, because its replica
+# was replaced: members are sent something every second.
+IDLE_LIMIT = 30.0
+# Messages queued for a replica that cannot be reached; older ones are dropped.
 MAX_QUEUED = 256
 
 
 class _Link:
-    """The link to one replica: a queue and the connection that empties it."""
+    """The link to one replica: a message queue and the connection over which it is sent."""
 
     def __init__(self, address: Address, context):
         self._address = address
@@ -37,13 +38,13 @@
         self._queue: list[bytes] = []
         self._writer: FrameWriter | None = None
         self.heard_at = monotonic()
-        self.used_at = monotonic()
+        self.last_sent_at = monotonic()
         self._confirmed_at: float | None = None
         self.task = None
 
     def put(self, data: bytes) -> None:
-        """Send a message, or keep it; the protocol bears the loss of the oldest."""
-        self.used_at = monotonic()
+        """Send a message, or queue it while unconnected; the protocol tolerates the loss of the oldest."""
+        self.last_sent_at = monotonic()
         if self._writer is not None:
             self._writer.put(data)
             return
@@ -51,57 +52,58 @@
         del self._queue[:-MAX_QUEUED]
 
     def run(self) -> None:
-        """Keep a connection, and open it anew when it breaks; ends where the link is not used any more."""
+        """Keep a connection open and reconnect when it breaks, until the link is unused for `IDLE_LIMIT`."""
         delay = RECONNECT_MIN
-        while monotonic() - self.used_at < UNUSED_LIMIT:
+        while monotonic() - self.last_sent_at < IDLE_LIMIT:
             opened_at = monotonic()
             try:
                 self._exchange(opened_at)
             except OSError:
-                pass  # the peer is away: tried again below
-            lasted = monotonic() - opened_at
-            delay = RECONNECT_MIN if lasted > RECONNECT_MAX else min(delay * 2, RECONNECT_MAX)
+                pass  # the peer cannot be reached: retried below
+            lifetime = monotonic() - opened_at
+            delay = RECONNECT_MIN if lifetime > RECONNECT_MAX else min(delay * 2, RECONNECT_MAX)
             gevent.sleep(random.uniform(0, delay))
 
     def _exchange(self, opened_at: float) -> None:
-        conn = connect(self._address, FOR_REPLICAS, self._context)
+        conn = connect(self._address, PURPOSE_REPLICAS, self._context)
         writer = FrameWriter(conn)
         for data in self._queue:
             writer.put(data)
         self._queue = []
         self._writer = writer
-        watching = gevent.spawn(self._watch, conn, opened_at)
+        watchdog = gevent.spawn(self._shut_down_if_silent, conn, opened_at)
         try:
-            run_both(conn, writer, self._note_confirmed)
+            exchange_frames(conn, writer, self._note_confirmed)
         finally:
             self._writer = None
-            watching.kill()
+            watchdog.kill()
 
     def _note_confirmed(self, data: bytes) -> None:
-        """Note that the peer receives what is sent over this connection."""
+        """Record that the peer receives what is sent over this connection."""
         self._confirmed_at = monotonic()
 
-    def _watch(self, conn, opened_at: float) -> None:
-        """End the connection when it is used and nothing is heard from the peer.
+    def _shut_down_if_silent(self, conn, opened_at: float) -> None:
+        """Shut the connection down if it is in use and the peer is silent.
 
-        A peer that confirms counts as heard by that alone: what it sends over its own
-        link, such as calls for votes since it hears no leader, says nothing of this one.
+        Once the peer has confirmed something, only its confirmations count. What it sends over
+        its own link, such as vote requests because it hears no leader, does not show that this
+        connection works.
         """
         while True:
-            # As often as confirmations come: looked at twice within the limit, links were opened
-            # anew up to 2.3 s after they had fallen silent instead of 1.8 s (40 on loopback).
+            # As often as confirmations arrive: with only two checks per limit, a silent link is
+            # replaced after up to 2.3 s instead of 1.8 s.
             gevent.sleep(SILENCE_LIMIT / CONFIRMATIONS)
             now = monotonic()
             heard_at = self.heard_at if self._confirmed_at is None else self._confirmed_at
             silent = now - max(heard_at, opened_at) > SILENCE_LIMIT
-            if silent and now - self.used_at < SILENCE_LIMIT:
-                # A writer that waits for room in the socket would not see that it is closed.
-                end_connection(conn)
+            if silent and now - self.last_sent_at < SILENCE_LIMIT:
+                # Not closed: a writer that is blocked by a full socket buffer would not notice.
+                shut_down(conn)
                 return
 
 
 class FramedLinks(PeerLinks):
-    """Links to other replicas; one that is named by its address needs no entry."""
+    """Links to other replicas; a replica that is named by its address needs no entry in `addresses`."""
 
     def __init__(self, addresses: dict[str, Address], context):
         self._addresses = dict(addresses)
@@ -124,7 +126,7 @@
                 return None
         link = self._links[name] = _Link(address, self._context)
         link.task = gevent.spawn(link.run)
-        # One that has ended is made anew should it be wanted again.
+        # The next message to the replica of an ended link creates a new link.
         link.task.link(lambda task: self._links.pop(name, None))
         return link
 
@@ -141,14 +143,14 @@
 
 
 def serve_replica(owner: TaskService, conn) -> None:
-    """Turn a replica's stream into messages to the control task, and confirm that they come.
+    """Post a replica's messages to the control task, and confirm the receipt of bytes.
 
-    Bytes are confirmed, not messages: a snapshot takes longer than the limit to come over a
-    narrow link, which would be opened anew in the middle of each.
+    Bytes are confirmed rather than whole messages: over a slow link a snapshot takes longer
+    than the peer's `SILENCE_LIMIT`, and the peer would replace the link during every snapshot.
     """
     confirmed_at = float("-inf")
 
-    def take(data: bytes) -> None:
+    def handle_message(data: bytes) -> None:
         owner.post(PeerMessageArrived(messages.PeerMessage.FromString(data)))
 
     def confirm() -> None:
@@ -158,4 +160,4 @@
             confirmed_at = now
             conn.sendall(EMPTY_FRAME)
 
-    read_frames(conn, take, confirm)
+    read_frames(conn, handle_message, confirm)
--- a/packages/lanedock-daemon/lanedock_daemon/frames.py
+++ b/packages/lanedock-daemon/lanedock_daemon/frames.py
@@ -1,7 +1,7 @@
 # SPDX-License-Identifier: BSD-3-Clause
-"""Frames on a socket: serialized messages, each with its length in front.
+"""Framing of serialized messages on a socket.
 
-A frame is a length of four bytes, big endian, and a message.
+A frame is the length of a message, in four bytes, big endian, followed by the message.
 """
 
 import socket
@@ -18,30 +18,31 @@
     "EMPTY_FRAME",
     "FrameWriter",
     "connect",
-    "end_connection",
+    "exchange_frames",
     "read_frames",
-    "run_both",
-    "tune",
+    "set_socket_options",
+    "shut_down",
 ]
 
 _LENGTH = struct.Struct(">I")
 EMPTY_FRAME = _LENGTH.pack(0)
-# A longer frame is no message of lanedock's: versions are at most 16 MB.
+# Bytes. A longer frame is not a message of lanedock: configuration versions are limited to 16 MB.
 MAX_FRAME = 64 * 1024 * 1024
-RECEIVE = 64 * 1024
-# Seconds for a connection's first messages, of which TLS has several: both sides
-# may be starting, on a part of a core.
+# Bytes read from a socket at once.
+RECEIVE_SIZE = 64 * 1024
+# Seconds for the first messages of a connection, of which TLS has several: both
+# processes may be starting up on a fraction of a core.
 HANDSHAKE_TIMEOUT = 1.0
-# A reader that has not taken this many bytes is cut off; it comes back and is
-# then sent only what it lacks.
+# Bytes queued for a peer above which no more messages are queued. A daemon's stream is
+# then closed; the daemon reconnects and is sent only what it lacks.
 MAX_BACKLOG = 8 * 1024 * 1024
-# A peer that acknowledges nothing for this long, in milliseconds, is gone: what waits to
-# be written to it, up to `MAX_BACKLOG`, is let go. The kernel's own limit is a quarter of an hour.
+# Milliseconds without an acknowledgement after which the kernel drops a connection. Data queued
+# for it, up to `MAX_BACKLOG`, is then freed. The kernel's default is a quarter of an hour.
 USER_TIMEOUT_MS = 10_000
 
 
 class FrameWriter:
-    """Sends frames from a queue, several at once where several wait."""
+    """Sends queued frames over a connection, all that are queued at once."""
 
     def __init__(self, conn):
         self._conn = conn
@@ -51,7 +52,7 @@
         self._is_closed = False
 
     def put(self, data: bytes) -> bool:
-        """Queue a message; False where the other side takes nothing any more."""
+        """Queue a message; return False if the writer is closed or its queue is full."""
         if self._is_closed or self._size > MAX_BACKLOG:
             return False
         self._queue.append(_LENGTH.pack(len(data)) + data)
@@ -60,12 +61,12 @@
         return True
 
     def close(self) -> None:
-        """Stop once all that is queued was sent."""
+        """Stop after everything that is queued has been sent."""
         self._is_closed = True
         self._wake.set()
 
     def run(self) -> None:
-        """Send until closed or the connection breaks."""
+        """Send queued frames until `close` is called or the connection breaks."""
         while True:
             if not self._queue:
                 if self._is_closed:
@@ -77,19 +78,24 @@
             self._conn.sendall(b"".join(batch))
 
 
-def read_frames(conn, take, note_received=None) -> None:
-    """Read frames until the connection ends, and hand each to `take`.
+def read_frames(conn, handle_message, note_received=None) -> None:
+    """Read frames until the connection ends, and pass each message to `handle_message`.
 
     Parameters
     ----------
     conn : socket
-    take : callable
-        Takes a message's bytes.
+    handle_message : callable
+        Called with the bytes of a message.
     note_received : callable, optional
-        Called without arguments whenever bytes have come, also of a frame that hasn't ended.
+        Called without arguments whenever bytes are received, also those of an incomplete frame.
+
+    Raises
+    ------
+    ConnectionError
+        If a frame is longer than `MAX_FRAME`.
     """
     buffer = bytearray()
-    while data := conn.recv(RECEIVE):
+    while data := conn.recv(RECEIVE_SIZE):
         if note_received is not None:
             note_received()
         buffer += data
@@ -97,19 +103,19 @@
         while len(buffer) - start >= _LENGTH.size:
             (length,) = _LENGTH.unpack_from(buffer, start)
             if length > MAX_FRAME:
-                raise ConnectionError(f"a frame of {length} bytes")
+                raise ConnectionError(f"received a frame of {length} bytes; the limit is {MAX_FRAME} bytes")
             end = start + _LENGTH.size + length
             if len(buffer) < end:
                 break
-            take(bytes(buffer[start + _LENGTH.size : end]))
+            handle_message(bytes(buffer[start + _LENGTH.size : end]))
             start = end
         del buffer[:start]
 
 
-def run_both(conn, writer: FrameWriter, take) -> str:
-    """Read and write until either ends; returns the reason."""
-    reading = gevent.spawn(_guarded, read_frames, conn, take)
-    writing = gevent.spawn(_guarded, writer.run)
+def exchange_frames(conn, writer: FrameWriter, handle_message) -> str:
+    """Read and write frames until either direction ends; return the reason."""
+    reading = gevent.spawn(_run_until_ended, read_frames, conn, handle_message)
+    writing = gevent.spawn(_run_until_ended, writer.run)
     try:
         done = gevent.wait([reading, writing], count=1)
         return done[0].value
@@ -119,32 +125,33 @@
         conn.close()
 
 
-def end_connection(conn) -> None:
-    """End a connection for whoever reads from it or writes to it."""
+def shut_down(conn) -> None:
+    """Shut a connection down, which wakes the greenlets that read from it or write to it."""
     try:
         conn.shutdown(socket.SHUT_RDWR)
     except OSError:
-        pass  # it has ended by itself
+        pass  # already closed
 
 
-def _guarded(function, *arguments) -> str:
+def _run_until_ended(function, *arguments) -> str:
+    """Call a function; return why it ended."""
     try:
         function(*arguments)
     except (OSError, ValueError) as exc:
         return repr(exc)
-    except Exception as exc:  # protobuf's DecodeError has no common base here
-        return f"not a message: {exc!r}"
+    except Exception as exc:  # protobuf's DecodeError has neither base class
+        return f"received a frame that cannot be decoded: {exc!r}"
     return "closed"
 
 
-def tune(conn) -> None:
-    """Send frames at once, and let go of a peer that is gone."""
+def set_socket_options(conn) -> None:
+    """Disable Nagle's algorithm, and have the kernel drop a peer that acknowledges nothing."""
     conn.setsockopt(socket.IPPROTO_TCP, socket.TCP_NODELAY, 1)
     conn.setsockopt(socket.IPPROTO_TCP, socket.TCP_USER_TIMEOUT, USER_TIMEOUT_MS)
 
 
 def connect(address: Address, purpose: bytes, context, limit: float = CONNECT_TIMEOUT):
-    """Connect within `limit` seconds, and say what for.
+    """Connect within `limit` seconds, and send the byte that names the purpose of the connection.
 
     Raises
     ------
@@ -153,7 +160,7 @@
     conn = open_connection((address.host, address.port), limit)
     try:
         conn.settimeout(HANDSHAKE_TIMEOUT)
-        tune(conn)
+        set_socket_options(conn)
         if context is not None:
             conn = context.wrap_socket(conn)
         conn.settimeout(None)
--- a/packages/lanedock-daemon/lanedock_daemon/grpc_sessions.py
+++ b/packages/lanedock-daemon/lanedock_daemon/grpc_sessions.py
@@ -1,5 +1,5 @@
 # SPDX-License-Identifier: BSD-3-Clause
-"""gRPC streams to daemons: the server side, shared by control and relays."""
+"""The server side of daemons' gRPC streams, shared by control instances and relays."""
 
 import asyncio
 
@@ -12,13 +12,13 @@
 
 __all__ = ["DistributionServer", "GrpcSession"]
 
-# A daemon that has not read this many messages is cut off; it comes back and
-# is then sent only what it lacks.
+# Messages queued for a daemon above which its stream is closed. The daemon reconnects and is
+# then sent only what it lacks.
 MAX_BACKLOG = 256
 
 
 class GrpcSession(Session):
-    """One stream to a daemon.
+    """The server's side of a daemon's stream, over gRPC.
 
     Parameters
     ----------
@@ -48,19 +48,19 @@
             self._loop.call(self._queue.put_nowait, None)
 
     async def pump(self, stream) -> None:
-        """Write what is queued to the stream, until it is closed."""
+        """Send queued messages over the stream until the session is closed."""
         while (message := await self._queue.get()) is not None:
             self.bytes_sent += message.ByteSize()
             await stream.send_message(message)
 
 
 class DistributionServer(DistributionBase):
-    """Turns streams into messages to the task that owns them.
+    """Posts the messages of daemons' streams to the task that owns the sessions.
 
     Parameters
     ----------
     task : TaskService
-        Takes ChildArrived, ChildReported and ChildLeft.
+        Receives ChildArrived, ChildReported and ChildLeft.
     loop : LoopService
     """
 
--- a/packages/lanedock-daemon/lanedock_daemon/grpc_transport.py
+++ b/packages/lanedock-daemon/lanedock_daemon/grpc_transport.py
@@ -1,5 +1,5 @@
 # SPDX-License-Identifier: BSD-3-Clause
-"""The gRPC transport: grpclib on an asyncio loop within the process's own thread."""
+"""The gRPC transport: grpclib on an asyncio loop in the process's main thread."""
 
 from lanedock.kernel import Kernel, TaskService
 from lanedock.kernel.loop import LoopService
@@ -24,13 +24,13 @@
 
 
 class GrpcTransport(Transport):
-    """Streams of gRPC; the operators' calls are taken at the control's address, too."""
+    """Transport of gRPC streams; control instances serve operators' calls at the same address."""
 
     def start(self, kernel: Kernel) -> None:
         self._loop: LoopService = kernel.find("loop")
 
     def stop(self) -> None:
-        """Nothing to do: streams end with their owners."""
+        """Do nothing: each stream is closed by the task that owns it."""
 
     def open_source(self, owner: TaskService, address: Address) -> SourceStream:
         return GrpcSource(owner, self._loop, address, make_client_context(self._tls))
--- a/packages/lanedock-daemon/lanedock_daemon/interface.py
+++ b/packages/lanedock-daemon/lanedock_daemon/interface.py
@@ -1,8 +1,8 @@
 # SPDX-License-Identifier: BSD-3-Clause
-"""How a process speaks with its surroundings: callers, applications, operators.
+"""The protocols between a process and its callers, applications and operators.
 
-What lanedock speaks itself is here; a platform with manners of its own is met
-by another `Interface`, which translates and decides nothing.
+This module has lanedock's own protocols. A platform with other protocols supplies another
+`Interface`, which only translates and makes no decisions.
 """
 
 from abc import ABC, abstractmethod
@@ -15,15 +15,15 @@
 
 
 class Interface(ABC):
-    """Makes the parts that speak with the surroundings."""
+    """Makes the handlers of requests from callers, applications and operators."""
 
     @abstractmethod
     def make_dialect(self) -> Dialect:
-        """Make the reader and writer of callers' and applications' headers."""
+        """Make the object that reads and writes the headers of callers and applications."""
 
     @abstractmethod
-    def make_registration_side(self, registrar):
-        """Make what takes an application's heartbeats.
+    def make_registration_handler(self, registrar):
+        """Make the handler of an application's heartbeats.
 
         Parameters
         ----------
@@ -36,20 +36,28 @@
         """
 
     @abstractmethod
-    def make_operators_side(self, control, settings: Settings):
-        """Make what takes operators' calls over HTTP, in front of a control task."""
+    def make_operators_handler(self, control, settings: Settings):
+        """Make the handler of operators' HTTP calls, which passes them to a control task.
+
+        Raises
+        ------
+        LanedockError
+            `ErrorCode.SERVICE_MISSING` if operators are not served over HTTP.
+        """
 
 
 class OwnInterface(Interface):
-    """What lanedock speaks itself."""
+    """Lanedock's own protocols."""
 
     def make_dialect(self) -> Dialect:
         return OwnDialect()
 
-    def make_registration_side(self, registrar):
+    def make_registration_handler(self, registrar):
         from lanedock_daemon.agent.registration import RegistrationSide
 
         return RegistrationSide(registrar)
 
-    def make_operators_side(self, control, settings: Settings):
-        raise LanedockError(ErrorCode.SERVICE_MISSING, "operators are served by gRPC only; leave out `operators`")
+    def make_operators_handler(self, control, settings: Settings):
+        raise LanedockError(
+            ErrorCode.SERVICE_MISSING, "operators are served over gRPC only; remove `operators` from the settings"
+        )
--- a/packages/lanedock-daemon/lanedock_daemon/roles.py
+++ b/packages/lanedock-daemon/lanedock_daemon/roles.py
@@ -1,5 +1,5 @@
 # SPDX-License-Identifier: BSD-3-Clause
-"""The services of the daemon roles, put together from settings."""
+"""Assembly of the services of the daemon roles from settings."""
 
 import gevent
 
@@ -24,38 +24,39 @@
 
 __all__ = ["DrainService", "add_daemon"]
 
-# Seconds at the end of a stop in which the upstream takes no new work, where callers
-# linger for longer: nearly all requests in progress end within it, and for the rest
-# the server waits. Were it the whole time that callers linger (3 s of 6 s of grace),
-# an upstream would be away for 3.9 s of a restart instead of 1.9 s.
+# Seconds at the end of the linger time during which the upstream accepts no new work. Nearly
+# all requests in progress end within it, and the server waits for the rest. If the upstream
+# drained for the whole linger time (3 s of 6 s of grace), it would be unavailable for 3.9 s of
+# a restart instead of 1.9 s.
 UPSTREAM_DRAIN = 1.0
-# Callers' connections are kept up to one in so many of the process's descriptors:
-# each request in progress takes two more.
-KEPT_PART = 4
-# Servers that accept until what they serve has ended: the application goes on with what
-# it works on, makes calls for it and reports how it is, and whoever asks learns that
-# callers are not accepted. All others close when callers have gone elsewhere.
+# Idle connections from callers are kept open up to the process's maximum number of descriptors
+# divided by this: each request in progress takes two more descriptors.
+DESCRIPTORS_PER_KEPT_CONNECTION = 4
+# Servers that accept connections until the requests in progress have ended: the application
+# continues to work on its requests, makes calls for them and sends heartbeats, and readiness
+# probes are told that callers are not accepted. All other servers close once callers have
+# switched to other instances.
 CLOSE_LAST = ("ready", "egress", "registration")
-# Between two lines of totals of requests, in seconds: what an operator looks at
-# beside a fault. A daemon with six routes writes some ten lines each time.
+# Seconds between two logs of request totals, which operators compare with the times of faults.
+# A daemon with six routes writes some ten lines each time.
 TOTALS_INTERVAL = 1.0
-# Bytes a second of a link of 1 Mbit/s.
+# Bytes per second of a link of 1 Mbit/s.
 BYTES_PER_MBIT = 125_000
 
 
 class DrainService(Service):
-    """Makes known, first of all when the process stops, that it takes no new work.
+    """Announces, as the first step of a stop, that the process accepts no new work.
 
-    Callers are sent elsewhere first, which takes them seconds. Other daemons learn
-    within a tenth of a second that the upstream takes no new work, so that comes
-    last: until then it serves on.
+    Callers are told first, as they take seconds to switch to another instance. Other daemons
+    are told last that the upstream accepts no new work, as they learn it within a tenth of a
+    second; until then the upstream continues to serve.
 
     Parameters
     ----------
     agent : AgentService
     view : LocalView
     plan : StopPlan
-        Its `linger`: callers are still served, until they have gone elsewhere.
+        Its `linger` is how long callers are still served, in seconds.
     """
 
     name = "drain"
@@ -66,10 +67,10 @@
         self._plan = plan
 
     def start(self, kernel: Kernel) -> None:
-        """Nothing to do."""
+        """Do nothing: the service acts only when the process stops."""
 
     def begin_stop(self) -> None:
-        """Send callers elsewhere; the servers begin to stop when they have gone."""
+        """Tell callers, then other daemons; servers begin to stop once this returns."""
         self._plan.begin(monotonic())
         self._view.is_stopping = True
         linger = self._plan.linger
@@ -78,11 +79,11 @@
         gevent.sleep(max(DRAIN_SETTLE, min(linger, UPSTREAM_DRAIN)))
 
     def stop(self) -> None:
-        """Nothing is left to do."""
+        """Do nothing: `begin_stop` has done all the work."""
 
 
 class _TotalsService(Service):
-    """Writes the totals of requests once in a while.
+    """Logs the totals of requests every `TOTALS_INTERVAL`, and at the end.
 
     Parameters
     ----------
@@ -108,8 +109,8 @@
             self._requests.emit_totals()
 
 
-class _ReadySide:
-    """Answers whether the daemon takes callers' requests."""
+class _ReadinessHandler:
+    """Answers probes for whether the daemon accepts callers' requests."""
 
     def __init__(self, view: LocalView):
         self._view = view
@@ -129,36 +130,40 @@
     interface: Interface | None = None,
     plan: StopPlan | None = None,
 ) -> None:
-    """Add the services of an entry daemon or of an upstream's daemon.
+    """Add the services of an entry daemon or of an upstream's daemon to a kernel.
 
-    All of its servers, and the requests themselves, share the plan of the process's stop.
+    All servers and all requests of the process share one stop plan.
     """
     plan = plan or make_stop_plan(settings)
     interface = interface or OwnInterface()
     dialect = interface.make_dialect()
     registration = _make_registration(settings)
     view = LocalView(settings.zone, settings.daemon.stall_limit_ms / 1000, registration, settings.name)
-    view.set_budgets(_budget_maker(settings, view))
+    view.set_budgets(_make_budget_factory(settings, view))
     agent = AgentService(settings, view, events, metrics)
     kernel.add(agent)
     requests = RequestLogger(events, settings.log_sample)
     kernel.add(_TotalsService(requests))
     caller = CallerSide(view, ConnectionPool(), events, metrics, tracer, dialect, requests=requests, plan=plan)
 
-    max_kept = settings.max_descriptors // KEPT_PART if settings.max_descriptors else None
+    max_kept_connections = (
+        settings.max_descriptors // DESCRIPTORS_PER_KEPT_CONNECTION if settings.max_descriptors else None
+    )
 
     def add_server(name: str, address, side) -> None:
         closes_last = name in CLOSE_LAST
         if settings.http_server == "wsgi":
             from lanedock_daemon.path.wsgi import WsgiPathServer
 
-            # Takes requests the same way; it is the benches' baseline.
+            # Has the same interface, and is the baseline of benchmarks.
             kernel.add(WsgiPathServer(name, address, side, plan, events, closes_last))
         else:
-            kernel.add(PathServer(name, address, side, plan, events, view.caller_limits, max_kept, closes_last))
+            kernel.add(
+                PathServer(name, address, side, plan, events, view.caller_limits, max_kept_connections, closes_last)
+            )
 
     if settings.daemon.ready is not None:
-        add_server("ready", settings.daemon.ready, _ReadySide(view))
+        add_server("ready", settings.daemon.ready, _ReadinessHandler(view))
     if settings.entry is not None:
         add_server("entry", settings.entry.listen, caller)
     if settings.upstream is not None:
@@ -184,7 +189,7 @@
                 view.may_have_service,
                 crashes.note_restart,
             )
-            add_server("registration", cfg.registration, interface.make_registration_side(registrar))
+            add_server("registration", cfg.registration, interface.make_registration_handler(registrar))
             discovery.registrar = registrar
             kernel.add(discovery)
         else:
@@ -204,8 +209,8 @@
     return UpstreamRegistration(cfg.service, cfg.registration is not None, cfg.heartbeat_s)
 
 
-def _budget_maker(settings: Settings, view: LocalView):
-    """Return what makes the retry budget towards a service."""
+def _make_budget_factory(settings: Settings, view: LocalView):
+    """Return a function that makes the retry budget for a service."""
     cfg = settings.daemon
     if cfg.retry_slack is None:
         return lambda: SavingBudget(cfg.retry_share)
--- a/packages/lanedock-daemon/lanedock_daemon/run.py
+++ b/packages/lanedock-daemon/lanedock_daemon/run.py
@@ -1,5 +1,5 @@
 # SPDX-License-Identifier: BSD-3-Clause
-"""A process of lanedock: its services, its signals, its end."""
+"""Runs a lanedock process: assembles its services, handles its signals, and stops it."""
 
 import os
 import signal
@@ -36,10 +36,11 @@
 
 EXIT_SETTINGS = 2
 EXIT_FAILED = 1
+# Seconds between two flushes of the metrics.
 METRICS_INTERVAL = 1.0
-# Flushes of the log between two of the metrics.
-FLUSHES = 4
-# A settings file that changes without a signal is noticed within this time, in seconds.
+# Flushes of the log for each flush of the metrics.
+LOG_FLUSHES = 4
+# Seconds between two checks for a settings file that changed without a signal.
 RELOAD_INTERVAL = 1.0
 
 
@@ -55,26 +56,25 @@
     Parameters
     ----------
     path : str
-        Of its settings file.
+        Path of the settings file.
     initialize : bool
-        Control only, once, when a mesh is set up: let an empty data folder vote
-        from the start.
+        Control instances only, once, when a mesh is set up: allow an empty data folder to
+        vote from the start.
     is_made : bool
-        Whether a program makes the settings: the schema is loaded only where they
-        can't be used.
+        Whether a program generates the settings: the schema is then loaded only if they are
+        invalid.
     interface : Interface, optional
-        How it speaks with its surroundings; lanedock's own where left out.
+        Protocols for callers, applications and operators. Default: lanedock's own.
     early : EarlySignals, optional
-        What has come since the process began; caught from here on where left out.
+        Signals received since the process began. Default: signals are recorded from this call on.
 
     Returns
     -------
     int
-        Exit code: 0 after a planned stop, 1 after a failure, 2 where the
-        settings have findings.
+        Exit code: 0 after a planned stop, 1 after a failure, 2 if the settings have findings.
     """
     early = early or EarlySignals()
-    # What is written while the file is read differs from it, and shows.
+    # Taken before the file is read, so that a change during the read is noticed.
     stamp = _read_stamp(path)
     try:
         settings = load_settings(path, is_made)
@@ -95,12 +95,12 @@
     try:
         return _run(kernel, settings, events, metrics, tracer, reloader, writer, early)
     finally:
-        early.ignore_late()
+        early.ignore_signals()
         writer.flush()
 
 
 def _read_stamp(path: str) -> tuple[int, int]:
-    """Return what shows that a file was written anew: when, in nanoseconds, and its size."""
+    """Return a file's modification time, in nanoseconds, and its size, in bytes, to detect changes."""
     try:
         status = os.stat(path)
     except OSError:
@@ -118,14 +118,14 @@
     return members[0] if len(members) == 1 else MetricsGroup(members)
 
 
-class _MetricsSide:
-    """Answers with the process's metrics."""
+class _MetricsHandler:
+    """Serves the process's metrics."""
 
     def __init__(self, metrics: TextMetrics):
         self._metrics = metrics
 
     def handle(self, request) -> Answer:
-        """Answer a fetch."""
+        """Answer any request with the current metrics."""
         body = self._metrics.render().encode()
         headers = [("content-type", "text/plain; version=0.0.4"), ("content-length", str(len(body)))]
         return Answer(200, "OK", headers, [body])
@@ -134,8 +134,8 @@
 def _add_metrics(kernel: Kernel, settings: Settings, metrics: TextMetrics, events: EventLogger) -> None:
     from lanedock_daemon.path.server import PathServer
 
-    # Of its own, with no time: nobody's request waits for it.
-    kernel.add(PathServer("metrics", settings.metrics, _MetricsSide(metrics), StopPlan(), events))
+    # A stop plan of its own, without time: no caller's request depends on this server.
+    kernel.add(PathServer("metrics", settings.metrics, _MetricsHandler(metrics), StopPlan(), events))
 
 
 def _make_tracer(settings: Settings) -> Tracer:
@@ -145,9 +145,9 @@
 
 
 def _make_kernel(settings: Settings, initialize: bool, events, metrics, tracer, interface: Interface) -> Kernel:
-    """Put the services of the process's roles together.
+    """Assemble the services of the process's roles.
 
-    Modules are imported by role: a daemon's memory is budgeted.
+    Only the modules of these roles are imported, as a daemon's memory is limited.
     """
     kernel = Kernel()
     plan = make_stop_plan(settings)
@@ -179,13 +179,13 @@
 
 
 def _add_operators(kernel: Kernel, settings: Settings, control, interface: Interface, events, plan) -> None:
-    """Serve operators over HTTP where the surroundings call for it."""
+    """Serve operators over HTTP if the settings have an address for it."""
     address = settings.control.operators
     if address is None:
         return
     from lanedock_daemon.path.server import PathServer
 
-    side = interface.make_operators_side(control, settings)
+    side = interface.make_operators_handler(control, settings)
     kernel.add(PathServer("operators", address, side, plan, events))
 
 
@@ -233,35 +233,35 @@
 
 
 def _wait(kernel: Kernel, stopping: Signal) -> BaseException | None:
-    """Wait to be stopped, or for a service to fail; return the failure."""
+    """Wait for a stop signal or for the failure of a service; return the failure, if any."""
     done = gevent.wait([stopping, kernel.failed], count=1)
     return kernel.failure if kernel.failed in done else None
 
 
 def _flush(metrics: Metrics, writer: LineWriter) -> None:
-    """Send metrics and write out log lines that wait."""
+    """Flush the metrics and the buffered log lines at their intervals."""
     while True:
-        for _ in range(FLUSHES):
-            gevent.sleep(METRICS_INTERVAL / FLUSHES)
+        for _ in range(LOG_FLUSHES):
+            gevent.sleep(METRICS_INTERVAL / LOG_FLUSHES)
             writer.flush()
         metrics.flush()
 
 
 class _Reloader:
-    """Takes over what may change while the process runs: the control instances named.
+    """Applies the settings that may change while the process runs: the named control instances.
 
     Parameters
     ----------
     kernel : Kernel
     path : str
-        Of the settings file.
+        Path of the settings file.
     stamp : tuple of int
-        That of the file before it was read, as `_read_stamp` returns it.
+        The result of `_read_stamp` before the file was read.
     settings : Settings
-        As read at the start.
+        The settings that the process started with.
     events : EventLogger
     is_made : bool
-        Whether a program makes the file.
+        Whether a program generates the file.
     """
 
     def __init__(self, kernel: Kernel, path: str, stamp: tuple, settings: Settings, events: EventLogger, is_made: bool):
@@ -273,27 +273,27 @@
         self._stamp = stamp
 
     def watch(self) -> None:
-        """Reload when the file has changed without a signal."""
+        """Reload whenever the file has changed without a signal."""
         while True:
             gevent.sleep(RELOAD_INTERVAL)
             if _read_stamp(self._path) != self._stamp:
                 self.reload()
 
     def reload(self) -> None:
-        """Read the settings again; with findings, those in use stay."""
+        """Read the settings again; if they have findings, keep the current ones."""
         self._stamp = _read_stamp(self._path)
         try:
-            fresh = load_settings(self._path, self._is_made)
+            new = load_settings(self._path, self._is_made)
         except FindingsError as exc:
             self._events.emit(Event.RELOAD_REFUSED, error=exc)
             return
         self._events.emit(Event.RELOADED, path=self._path)
         old = self._settings
-        if fresh.daemon is not None and old.daemon is not None and fresh.daemon.control != old.daemon.control:
-            self._post("agent", fresh.daemon.control)
-        if fresh.control is not None and old.control is not None and fresh.control.seeds != old.control.seeds:
-            self._post("control", fresh.control.seeds)
-        self._settings = fresh
+        if new.daemon is not None and old.daemon is not None and new.daemon.control != old.daemon.control:
+            self._post("agent", new.daemon.control)
+        if new.control is not None and old.control is not None and new.control.seeds != old.control.seeds:
+            self._post("control", new.control.seeds)
+        self._settings = new
 
     def _post(self, service: str, control: list) -> None:
         from lanedock_daemon.sessions import SeedsChanged
--- a/packages/lanedock-daemon/lanedock_daemon/session_registry.py
+++ b/packages/lanedock-daemon/lanedock_daemon/session_registry.py
@@ -1,5 +1,5 @@
 # SPDX-License-Identifier: BSD-3-Clause
-"""Sessions with the daemons downstream, as control instances and relays have them."""
+"""Sessions of control instances and relays with downstream daemons."""
 
 from abc import ABC, abstractmethod
 
@@ -15,14 +15,14 @@
 
 
 class SessionRegistry(ABC):
-    """Sessions with daemons downstream, and what is sent to them.
+    """Sessions with downstream daemons, and the messages sent to them.
 
     Parameters
     ----------
     distributor : Distributor
     metrics : Metrics
     quarantine : Quarantine
-        Of the process; daemons are sent its news, and theirs go into it.
+        That of the process. Its changes are sent to daemons, and changes from daemons are merged.
     """
 
     def __init__(self, distributor: Distributor, metrics: Metrics, quarantine: Quarantine):
@@ -39,24 +39,24 @@
 
     @abstractmethod
     def _take(self, session: Session, message: messages.DaemonMessage) -> None:
-        """Accept what a daemon's message holds besides its state."""
+        """Process the parts of a daemon's message other than its state and its suspicions."""
 
     @abstractmethod
     def arrive(self, session: Session, message: messages.DaemonMessage, endpoints: messages.EndpointUpdate) -> None:
-        """Admit a daemon with all endpoints, or send it elsewhere."""
+        """Admit a daemon and send it all endpoints, or redirect it to another source."""
 
     def greet(
         self, session: Session, message: messages.DaemonMessage, make_endpoints, accepted: int, staleness: float
     ) -> bool:
-        """Answer a daemon that has connected, or that only asks how fresh this source is.
+        """Answer a daemon that has connected, or that only probes how fresh this source is.
 
         Parameters
         ----------
         session : Session
         message : DaemonMessage
-            Its first.
+            The first message of the session.
         make_endpoints : callable
-            Returns the EndpointUpdate with all endpoints.
+            Returns an EndpointUpdate with all endpoints.
         accepted, staleness : int, float
             See `send_heartbeats`.
 
@@ -72,14 +72,14 @@
         self.arrive(session, message, make_endpoints())
         if session.child is None:
             return False
-        # At once: a daemon that came to a source without a leader goes on.
+        # At once, so that a daemon whose source has no leader can try the next source.
         self._send_heartbeat(session, accepted, staleness)
         return True
 
     def _admit(self, session: Session, message: messages.DaemonMessage, endpoints: messages.EndpointUpdate) -> None:
         """Admit a daemon, and send it all suspicions and endpoints.
 
-        In this order: it is ready once it knows endpoints.
+        Endpoints are sent last: the daemon is ready once it knows them.
         """
         now = monotonic()
         session.heard_at = now
@@ -89,7 +89,7 @@
         if suspicions:
             self._send(session, [_make_suspicions(suspicions)])
         if self._plan.revision:
-            # Before the endpoints: some of them may be withheld.
+            # Before the endpoints, as the plan may withhold some of them.
             self._send(session, [messages.ControlMessage(canary_plan=self._plan)])
         first = messages.ControlMessage()
         first.endpoints.CopyFrom(endpoints)
@@ -98,7 +98,7 @@
         self._take(session, message)
 
     def receive(self, session: Session, message: messages.DaemonMessage) -> None:
-        """Accept a daemon's message."""
+        """Process a message from an admitted daemon."""
         if session.child is None:
             return
         now = monotonic()
@@ -109,7 +109,7 @@
         self._take(session, message)
 
     def leave(self, session: Session) -> None:
-        """Forget a session that has ended."""
+        """Remove a session that has ended."""
         if session.child is not None:
             self.distributor.disconnect(session.child)
             session.child = None
@@ -121,21 +121,21 @@
             session.close()
 
     def flush(self) -> None:
-        """Send every daemon what it lacks."""
-        news = self._quarantine.take_news(self._suspicions, monotonic())
-        batch = [_make_suspicions(news)] if news else []
+        """Send every daemon the suspicions and versions that it lacks."""
+        changed = self._quarantine.take_news(self._suspicions, monotonic())
+        batch = [_make_suspicions(changed)] if changed else []
         for session in self._sessions:
             self._send(session, [*batch, *self.distributor.due(session.child)])
 
     def set_canary_plan(self, plan: messages.CanaryPlan) -> None:
-        """Send all daemons a newer plan."""
+        """Send a newer canary plan to all daemons."""
         self._plan = plan
         message = messages.ControlMessage(canary_plan=plan)
         for session in self._sessions:
             self._send(session, [message])
 
     def send_members(self, sessions: list[Session] | None, members: list[tuple[str, str]]) -> None:
-        """Name the control instances, with their zones, to some daemons or to all."""
+        """Send the addresses and zones of the control instances to some daemons, or to all if None."""
         message = messages.ControlMessage()
         message.members.SetInParent()
         for address, zone in members:
@@ -151,16 +151,16 @@
             self._send(session, [message])
 
     def send_heartbeats(self, now: float, accepted: int, staleness: float) -> None:
-        """Send heartbeats when they are due, and end silent sessions.
+        """Send heartbeats when they are due, and close silent sessions.
 
         Parameters
         ----------
         now : float
-            Monotonic, seconds.
+            Monotonic time, in seconds.
         accepted : int
-            Number of the newest accepted version known here.
+            Number of the newest accepted version that this process knows.
         staleness : float
-            Seconds since this source has heard from the leader.
+            Seconds since this source last heard from the leader.
         """
         if now < self._heartbeat_at:
             return
@@ -175,14 +175,14 @@
                 self._send(session, [message])
 
     def expedite_heartbeats(self) -> None:
-        """Have heartbeats sent with the next `send_heartbeats`, because what they report has changed."""
+        """Make the next `send_heartbeats` send at once, because the values in heartbeats have changed."""
         self._heartbeat_at = 0.0
 
     def _send_heartbeat(self, session: Session, accepted: int, staleness: float) -> None:
         self._send(session, [_make_heartbeat(accepted, staleness)])
 
     def _send_floor(self, session: Session, token: int, accepted: int) -> None:
-        """Answer a daemon's question for the floor, after all versions due."""
+        """Answer a daemon's request for the floor, after sending all versions that it is due."""
         if session in self._sessions:
             message = messages.ControlMessage()
             message.floor.token = token
--- a/packages/lanedock-daemon/lanedock_daemon/sessions.py
+++ b/packages/lanedock-daemon/lanedock_daemon/sessions.py
@@ -1,5 +1,5 @@
 # SPDX-License-Identifier: BSD-3-Clause
-"""Messages to the tasks that own the sessions with daemons."""
+"""Messages to the tasks that own sessions with daemons, and the intervals of sessions."""
 
 from lanedock.settings import Address
 from lanedock.wire import messages
@@ -17,14 +17,14 @@
     "SeedsChanged",
 ]
 
-# A source sends something at least this often, in seconds. Each heartbeat is some 60
-# bytes with its packet's headers, 0.2 kB a second for each daemon; what a daemon knows
-# of its source is this much older at the most than it could be.
+# Seconds between two heartbeats of a source. A heartbeat takes some 60 bytes with its packet's
+# headers, 0.2 kB a second for each daemon. What a daemon knows of its source is out of date by
+# this interval at most.
 HEARTBEAT_INTERVAL = 0.3
-# A daemon reports at least this often, in seconds.
+# Maximum number of seconds between two reports of a daemon.
 REPORT_INTERVAL = 1.0
-# Each end takes the other for lost after this silence, in seconds. Versions don't wait
-# for it: a daemon looks for a fresher source long before.
+# Seconds of silence after which each end considers the other lost. Versions are not delayed by
+# this limit: a daemon looks for a fresher source long before.
 SILENCE_LIMIT = 3.5
 
 
@@ -37,7 +37,7 @@
 
 
 class ChildArrived(_SessionMessage):
-    """A daemon has connected, with its first message."""
+    """A daemon has connected and sent its first message."""
 
 
 class ChildReported(_SessionMessage):
@@ -49,7 +49,7 @@
 
 
 class SeedsChanged:
-    """The settings name other control instances."""
+    """The control instances named by the settings have changed."""
 
     __slots__ = ("control",)
 
@@ -58,12 +58,12 @@
 
 
 class DrainRequested:
-    """The instance is to take no new work."""
+    """The instance must accept no new work."""
 
     __slots__ = ()
 
 
 class ReportDue:
-    """Others have to learn of a change at once: of the upstream's registration, or of suspicions."""
+    """The upstream's registration or the suspicions have changed and must be reported at once."""
 
     __slots__ = ()
--- a/packages/lanedock-daemon/lanedock_daemon/signals.py
+++ b/packages/lanedock-daemon/lanedock_daemon/signals.py
@@ -1,9 +1,8 @@
 # SPDX-License-Identifier: BSD-3-Clause
-"""Signals that come before a process can act on them, and after.
+"""Signals that arrive while a process starts or ends.
 
-Imports nothing but `signal`: until signals are caught, SIGHUP ends a process. This
-module took 5 ms and a daemon's other imports 0.6 s (perf_counter around them, not
-compiled, beside other load).
+Imports only `signal`, so that handlers are installed early: without one, SIGHUP ends the
+process. Importing this module takes 5 ms, and a daemon's other imports 0.6 s.
 """
 
 import signal
@@ -14,14 +13,14 @@
 
 
 class EarlySignals:
-    """Catches the signals of a process from now on, and keeps them until something else does.
+    """Records the signals of a process from now on, until other handlers replace these.
 
     Attributes
     ----------
     must_stop : bool
-        Whether SIGTERM or SIGINT has come.
+        Whether SIGTERM or SIGINT was received.
     must_reload : bool
-        Whether SIGHUP has come.
+        Whether SIGHUP was received.
     """
 
     __slots__ = ("must_reload", "must_stop")
@@ -35,8 +34,8 @@
     def __repr__(self) -> str:
         return f"<EarlySignals stop={self.must_stop} reload={self.must_reload}>"
 
-    def ignore_late(self) -> None:
-        """Ignore signals from now on: the interpreter's own end would let go of their handlers."""
+    def ignore_signals(self) -> None:
+        """Ignore signals from now on: the interpreter removes their handlers while it shuts down."""
         for number in (*_STOPS, signal.SIGHUP):
             signal.signal(number, signal.SIG_IGN)
 
--- a/packages/lanedock-daemon/lanedock_daemon/sockets.py
+++ b/packages/lanedock-daemon/lanedock_daemon/sockets.py
@@ -1,5 +1,5 @@
 # SPDX-License-Identifier: BSD-3-Clause
-"""Opening of TCP connections."""
+"""TCP connections to numeric addresses without a resolver."""
 
 from gevent import socket
 
@@ -9,15 +9,15 @@
 def open_connection(address: tuple[str, int], timeout: float | None = None) -> socket.socket:
     """Connect to an address.
 
-    Where its host is a number, as everywhere in a mesh, it isn't resolved: gevent's resolver
-    is a thread with a heap of its own, which takes 2 MB of a daemon, and 0.14 ms of a core for
-    each connection (RssAnon and process time, 1,000 connections).
+    A numeric host, as used throughout a mesh, is not resolved: gevent's resolver runs in a
+    thread with its own heap, which takes 2 MB of a daemon's memory, and 0.14 ms of CPU time
+    for each connection.
 
     Parameters
     ----------
     address : tuple of (str, int)
     timeout : float, optional
-        Seconds, for the connection and for what is done with it later on.
+        Seconds, for connecting and for each later operation on the socket.
 
     Raises
     ------
@@ -37,7 +37,7 @@
 
 
 def _find_family(host: str) -> int | None:
-    """Return the family that a host is a number of; None where it is a name."""
+    """Return the address family of a numeric host; None for a host name."""
     for family in (socket.AF_INET, socket.AF_INET6):
         try:
             socket.inet_pton(family, host)
--- a/packages/lanedock-daemon/lanedock_daemon/tests/test_framed.py
+++ b/packages/lanedock-daemon/lanedock_daemon/tests/test_framed.py
@@ -43,7 +43,7 @@
 
 
 def test_a_link_to_a_replica_that_was_replaced_ends(monkeypatch):
-    monkeypatch.setattr(framed_links, "UNUSED_LIMIT", 0.1)
+    monkeypatch.setattr(framed_links, "IDLE_LIMIT", 0.1)
     monkeypatch.setattr(framed_links, "RECONNECT_MAX", 0.05)
     links = FramedTransport(None).peer_links({})
     gone = f"127.0.0.1:{free_port()}"
--- a/packages/lanedock-daemon/lanedock_daemon/transport.py
+++ b/packages/lanedock-daemon/lanedock_daemon/transport.py
@@ -1,5 +1,5 @@
 # SPDX-License-Identifier: BSD-3-Clause
-"""How lanedock's processes talk to each other: what every transport offers.
+"""The interface of the transports between lanedock's processes.
 
 Two transports carry the same protobuf messages: gRPC on asyncio
 (`lanedock_daemon.grpc_transport`) and length-prefixed frames on gevent sockets
@@ -26,17 +26,16 @@
     "Transport",
 ]
 
-# A link between control instances is opened anew when the peer confirms nothing over it for
-# this long, in seconds: its connection may have been cut without a sign. Leaders speak every
-# 0.15 s.
+# Seconds without a confirmation from the peer after which a link between control instances is
+# replaced: its connection may have been cut without a reset. A leader sends every 0.15 s.
 SILENCE_LIMIT = 1.5
-# What comes over a link is confirmed so many times within the limit above at the most, for 60
-# bytes each; in gRPC, whose confirmations are asked for, for as many more.
+# Maximum number of confirmations of received data within `SILENCE_LIMIT`, of 60 bytes each. In
+# gRPC a confirmation answers a ping, which takes as many bytes again.
 CONFIRMATIONS = 5
-# Seconds in which a connection has to be made, where nothing is known of its way. A machine
-# without power drops the opening packet, which the kernel sends again after a second:
-# without this limit a herd that came back waited up to 0.8 s longer for control that had a
-# leader again. A round trip takes tens of milliseconds at the most, between regions too.
+# Seconds for establishing a connection when its round-trip time is unknown. The SYN packet to a
+# machine without power is lost, and the kernel sends it again only after a second: without this
+# limit, daemons that all reconnect wait up to 0.8 s longer for control instances that have a
+# leader again. A round trip takes at most tens of milliseconds, also between regions.
 CONNECT_TIMEOUT = 0.2
 
 
@@ -70,22 +69,22 @@
 
 
 class SourceStream(ABC):
-    """One stream from a source; it posts what it receives to its owner.
+    """A stream from a source; posts the messages that it receives to its owner.
 
     Parameters
     ----------
     owner : TaskService
-        Takes SourceSent and SourceEnded.
+        Receives SourceSent and SourceEnded.
     address : Address
 
     Attributes
     ----------
     connect_limit : float
-        Seconds in which its connection has to be made, by the framed transport.
+        Seconds for establishing the connection; used by the framed transport only.
     heard_at : float
-        Monotonic; when the source last sent something.
+        Monotonic time, in seconds, at which the source last sent something.
     is_serving : bool
-        Whether it has taken this daemon in.
+        Whether the source has admitted this daemon.
     """
 
     def __init__(self, owner: TaskService, address: Address):
@@ -100,15 +99,15 @@
 
     @abstractmethod
     def open(self, first: messages.DaemonMessage) -> None:
-        """Start to connect, and send a first message."""
+        """Start connecting, and send a first message once connected."""
 
     @abstractmethod
     def send(self, message: messages.DaemonMessage) -> None:
-        """Send a message, soon; from any greenlet."""
+        """Queue a message to be sent; may be called from any greenlet."""
 
     @abstractmethod
     def close(self) -> None:
-        """End the stream; SourceEnded follows."""
+        """End the stream; SourceEnded is posted afterwards."""
 
 
 class Session(ABC):
@@ -119,9 +118,9 @@
     child : Child or None
         Set by the task that owns the session.
     heard_at : float
-        Monotonic; when the daemon last sent something.
+        Monotonic time, in seconds, at which the daemon last sent something.
     bytes_sent : int
-        Of messages, without framing.
+        Bytes of the messages sent, without framing.
     """
 
     def __init__(self):
@@ -131,11 +130,11 @@
 
     @abstractmethod
     def send(self, batch: list[messages.ControlMessage]) -> None:
-        """Send messages, soon; from any greenlet."""
+        """Queue messages to be sent; may be called from any greenlet."""
 
     @abstractmethod
     def close(self) -> None:
-        """End the stream; from any greenlet."""
+        """End the stream; may be called from any greenlet."""
 
 
 class PeerLinks(ABC):
@@ -143,27 +142,27 @@
 
     @abstractmethod
     def start(self) -> None:
-        """Start to connect."""
+        """Start connecting to the replicas."""
 
     @abstractmethod
     def send(self, batch: list[messages.PeerMessage]) -> None:
-        """Send messages, soon; from any greenlet. The oldest may be lost."""
+        """Queue messages to be sent; may be called from any greenlet. The oldest may be lost."""
 
     @abstractmethod
     def note_heard(self, sender: str, now: float) -> None:
-        """Note that a replica was heard from."""
+        """Record that a message of a replica was received at `now`, monotonic, in seconds."""
 
 
 class Listener(ABC):
-    """An address that is listened on."""
+    """An address at which connections are accepted."""
 
     @abstractmethod
     def close(self) -> None:
-        """Take no more connections; from any greenlet."""
+        """Accept no more connections; may be called from any greenlet."""
 
 
 class Transport(Service):
-    """Makes streams, links and listeners. One for a process.
+    """Makes the streams, links and listeners of a process.
 
     Parameters
     ----------
@@ -177,15 +176,15 @@
 
     @abstractmethod
     def open_source(self, owner: TaskService, address: Address) -> SourceStream:
-        """Make a stream from a source, not yet opened."""
+        """Make a stream from a source, without opening it."""
 
     @abstractmethod
     def peer_links(self, addresses: dict[str, Address]) -> PeerLinks:
-        """Make links to other replicas, not yet started."""
+        """Make links to other replicas, without starting them."""
 
     @abstractmethod
     def serve_daemons(self, owner: TaskService, address: Address) -> Listener:
-        """Take daemons' streams.
+        """Accept daemons' streams.
 
         Raises
         ------
@@ -195,7 +194,7 @@
 
     @abstractmethod
     def serve_control(self, owner: TaskService, address: Address) -> Listener:
-        """Take daemons' streams and other replicas' messages, and what else control serves.
+        """Accept daemons' streams, other replicas' messages, and all other calls to a control instance.
 
         Raises
         ------
