--- a/packages/lanedock-daemon/lanedock_daemon/framed_links.py
+++ b/packages/lanedock-daemon/lanedock_daemon/framed_links.py
@@ -17,10 +17,10 @@
 
 # First byte of a connection that carries a replica's messages.
 PURPOSE_REPLICAS = b"R"
-# Limits of the delay between two connection attempts, in seconds. The upper one is short:
-# replicas that were killed together return within tenths of a second of each other,
-# and there are at most seven of them.
+# Limits of the delay between two connection attempts, in seconds.
 RECONNECT_MIN = 0.05
+# Replicas that were killed together return within tenths of a second of each other, and
+# there are at most seven of them.
 RECONNECT_MAX = 0.2
 # Seconds without a message to send after which a link is closed, because its replica
 # was replaced: members are sent something every second.
--- a/packages/lanedock-daemon/lanedock_daemon/frames.py
+++ b/packages/lanedock-daemon/lanedock_daemon/frames.py
@@ -139,7 +139,7 @@
         function(*arguments)
     except (OSError, ValueError) as exc:
         return repr(exc)
-    except Exception as exc:  # protobuf's DecodeError has neither base class
+    except Exception as exc:  # protobuf's DecodeError derives from neither of these
         return f"received a frame that cannot be decoded: {exc!r}"
     return "closed"
 
--- a/packages/lanedock-daemon/lanedock_daemon/network.py
+++ b/packages/lanedock-daemon/lanedock_daemon/network.py
@@ -21,7 +21,7 @@
 def make_channel(
     address: Address, context: ssl.SSLContext | None, silence_limit: float | None = None, pings: int = 1
 ) -> Channel:
-    """Make a channel, which connects when the first call is made.
+    """Make a channel, which connects at its first call.
 
     Parameters
     ----------
--- a/packages/lanedock-daemon/lanedock_daemon/roles.py
+++ b/packages/lanedock-daemon/lanedock_daemon/roles.py
@@ -37,7 +37,7 @@
 # probes are told that callers are not accepted. All other servers close once callers have
 # switched to other instances.
 CLOSE_LAST = ("ready", "egress", "registration")
-# Seconds between two logs of request totals, which operators compare with the times of faults.
+# Seconds between two logs of request totals, which operators look at when they examine a fault.
 # A daemon with six routes writes some ten lines each time.
 TOTALS_INTERVAL = 1.0
 # Bytes per second of a link of 1 Mbit/s.
--- a/packages/lanedock-daemon/lanedock_daemon/tests/conftest.py
+++ b/packages/lanedock-daemon/lanedock_daemon/tests/conftest.py
@@ -1,5 +1,5 @@
 # SPDX-License-Identifier: BSD-3-Clause
-"""Fixtures of the tests of whole daemons."""
+"""Fixtures for tests of stopping daemons."""
 
 import pytest
 
@@ -8,12 +8,12 @@
 
 @pytest.fixture
 def make_daemon(tmp_path):
-    made = []
+    daemons = []
 
     def make(**options):
-        made.append(StoppingDaemon(tmp_path, **options))
-        return made[-1]
+        daemons.append(StoppingDaemon(tmp_path, **options))
+        return daemons[-1]
 
     yield make
-    for daemon in made:
+    for daemon in daemons:
         daemon.close()
--- a/packages/lanedock-daemon/lanedock_daemon/tests/links.py
+++ b/packages/lanedock-daemon/lanedock_daemon/tests/links.py
@@ -1,5 +1,5 @@
 # SPDX-License-Identifier: BSD-3-Clause
-"""What links between control instances have to bear, over any transport."""
+"""Checks of links between control instances, shared by the tests of all transports."""
 
 import gevent
 from gevent import socket
@@ -11,22 +11,23 @@
 from lanedock_daemon.transport import PeerLinks
 
 __all__ = [
-    "NARROW_RATE",
-    "NARROW_SILENCE_LIMIT",
+    "SLOW_RATE",
+    "SLOW_SILENCE_LIMIT",
     "Owner",
-    "check_a_full_link_is_opened_anew",
-    "check_a_narrow_link_brings_a_long_message",
-    "check_a_silent_link_is_opened_anew",
+    "check_full_link_is_replaced",
+    "check_silent_link_is_replaced",
+    "check_slow_link_delivers_long_message",
     "free_port",
 ]
 
-# Bytes a second of a narrow link, and the silence after which it is opened anew, in seconds.
-NARROW_RATE = 500_000
-NARROW_SILENCE_LIMIT = 1.0
+# Bytes per second of a slow link.
+SLOW_RATE = 500_000
+# Seconds of silence after which a slow link is replaced.
+SLOW_SILENCE_LIMIT = 1.0
 
 
 class Owner(TaskService):
-    """Keeps what it is posted."""
+    """Records the messages that are posted to it."""
 
     name = "owner"
 
@@ -42,30 +43,30 @@
 
 
 def free_port() -> int:
-    """Return a port of loopback that nobody listens on."""
+    """Return a loopback port on which no process listens."""
     with socket.socket() as probe:
         probe.bind(("127.0.0.1", 0))
         return probe.getsockname()[1]
 
 
-def check_a_silent_link_is_opened_anew(links: PeerLinks, name: str, peer: Owner, proxy: SilencingProxy) -> None:
-    """Check that a link that falls silent is opened anew though its peer is heard over its own link.
+def check_silent_link_is_replaced(links: PeerLinks, name: str, peer: Owner, proxy: SilencingProxy) -> None:
+    """Check that a silent link is replaced although messages arrive over the peer's own link.
 
-    A follower that hears its leader no more calls for votes, over its own link, and so is heard.
+    A follower that no longer hears its leader sends vote requests over its own link.
 
     Parameters
     ----------
     links : PeerLinks
     name : str
-        The peer's.
+        The peer's name.
     peer : Owner
-        Is posted what arrives there.
+        Receives the messages that arrive at the peer.
     proxy : SilencingProxy
-        Between the two.
+        Between the links and the peer.
     """
 
     def send() -> int:
-        """Send, with the peer heard just before; returns how many messages have come."""
+        """Send a message just after the peer was heard; return how many messages have arrived."""
         links.note_heard(name, monotonic())
         links.send([messages.PeerMessage(sender="me", receiver=name)])
         gevent.sleep(0.02)
@@ -74,7 +75,7 @@
     with gevent.Timeout(10):
         while not send():
             pass
-        # The link is busy for longer than its limit, and stays open.
+        # The link is in use for longer than its silence limit, and stays open.
         for _ in range(30):
             send()
         assert proxy.accepted == 1
@@ -85,8 +86,11 @@
     assert proxy.accepted == 2
 
 
-def check_a_full_link_is_opened_anew(links: PeerLinks, name: str, peer: Owner, proxy: SilencingProxy) -> None:
-    """Check that a silent link is opened anew though more waits than its socket takes; see above."""
+def check_full_link_is_replaced(links: PeerLinks, name: str, peer: Owner, proxy: SilencingProxy) -> None:
+    """Check that a silent link is replaced although its socket buffer is full.
+
+    Parameters as in `check_silent_link_is_replaced`.
+    """
 
     def send(size: int) -> int:
         message = messages.PeerMessage(sender="me", receiver=name)
@@ -97,7 +101,7 @@
 
     with gevent.Timeout(20):
         sent = 1
-        # All of them: one that comes later would be taken for one over the new link.
+        # Waits for all of them: a late one would count as received over the new link.
         while send(1) < sent:
             sent += 1
             gevent.sleep(0.2)
@@ -108,15 +112,16 @@
     assert proxy.accepted > 1
 
 
-def check_a_narrow_link_brings_a_long_message(links: PeerLinks, name: str, peer: Owner, proxy: SilencingProxy) -> None:
-    """Check that a link isn't taken for silent while a message takes several limits to come; see above.
+def check_slow_link_delivers_long_message(links: PeerLinks, name: str, peer: Owner, proxy: SilencingProxy) -> None:
+    """Check that a link is not replaced while one message takes several silence limits to arrive.
 
-    Its messages would be lost with it, and the long one with all that kernels don't hold of it: a
-    replica without a past would wait for its snapshot without end.
+    If the link were replaced, its queued messages and the unsent rest of the long one would be
+    lost, and a replica without data would never receive its snapshot. Parameters as in
+    `check_silent_link_is_replaced`.
     """
     short = messages.PeerMessage(sender="me", receiver=name)
     long = messages.PeerMessage(sender="me", receiver=name)
-    long.snapshot_request.state = bytes(int(4 * NARROW_SILENCE_LIMIT * NARROW_RATE))
+    long.snapshot_request.state = bytes(int(4 * SLOW_SILENCE_LIMIT * SLOW_RATE))
 
     def send(message: messages.PeerMessage) -> None:
         links.note_heard(name, monotonic())
@@ -127,7 +132,7 @@
         while not peer.posted:
             send(short)
         send(long)
-        # Beside it what leaders send all the while.
+        # Short messages follow, as a leader sends them all the time.
         while not any(item.message == long for item in peer.posted):
             send(short)
     assert proxy.accepted == 1
--- a/packages/lanedock-daemon/lanedock_daemon/tests/proxies.py
+++ b/packages/lanedock-daemon/lanedock_daemon/tests/proxies.py
@@ -1,5 +1,5 @@
 # SPDX-License-Identifier: BSD-3-Clause
-"""Proxies on loopback that do to connections what networks do."""
+"""Loopback proxies that reproduce faults of networks."""
 
 import gevent
 from gevent import socket
@@ -8,32 +8,32 @@
 __all__ = ["SilencingProxy"]
 
 HOST = "127.0.0.1"
-# Bytes that are passed on at once at the most.
+# Maximum number of bytes forwarded at once.
 CHUNK = 16 * 1024
 
 
 class SilencingProxy:
-    """Passes connections on, and swallows both directions of those it has, when it is asked to.
+    """Forwards connections; on request, discards or stops reading the data of the existing ones.
 
     Parameters
     ----------
     target : tuple of (str, int)
     rate : float, optional
-        Bytes a second that it passes on, in each direction of each connection.
+        Bytes per second that are forwarded in each direction of each connection.
 
     Attributes
     ----------
     accepted : int
-        Connections so far.
+        Number of connections accepted so far.
     passed : int
-        Bytes passed on so far, of both directions.
+        Bytes forwarded so far, in both directions.
     """
 
     def __init__(self, target: tuple[str, int], rate: float = float("inf")):
         self._target = target
         self._rate = rate
-        self._era = 0
-        self._paused_before = 0
+        self._generation = 0
+        self._last_paused = 0
         self.accepted = 0
         self.passed = 0
         self.server = StreamServer((HOST, 0), self._serve)
@@ -44,32 +44,32 @@
         return (HOST, self.server.server_port)
 
     def silence(self) -> None:
-        """Swallow what comes on the connections there are; new ones work."""
-        self._era += 1
+        """Discard the data of the existing connections; new connections work."""
+        self._generation += 1
 
     def stop_reading(self) -> None:
-        """Read nothing more from the connections there are: what is sent there fills the sender's buffer."""
-        self._paused_before = self.accepted
+        """Stop reading from the existing connections, so that the sender's buffer fills up."""
+        self._last_paused = self.accepted
 
     def _serve(self, conn, address) -> None:
         self.accepted += 1
         number = self.accepted
         with socket.create_connection(self._target) as other:
-            era = self._era
+            generation = self._generation
             gevent.joinall(
                 [
-                    gevent.spawn(self._pass, conn, other, era, number),
-                    gevent.spawn(self._pass, other, conn, era, number),
+                    gevent.spawn(self._forward, conn, other, generation, number),
+                    gevent.spawn(self._forward, other, conn, generation, number),
                 ]
             )
 
-    def _pass(self, source, target, era: int, number: int) -> None:
+    def _forward(self, source, target, generation: int, number: int) -> None:
         try:
             while data := source.recv(CHUNK):
                 gevent.sleep(len(data) / self._rate)
-                while number <= self._paused_before:
+                while number <= self._last_paused:
                     gevent.sleep(0.01)
-                if era == self._era:
+                if generation == self._generation:
                     target.sendall(data)
                     self.passed += len(data)
             target.shutdown(socket.SHUT_WR)
--- a/packages/lanedock-daemon/lanedock_daemon/tests/starts.py
+++ b/packages/lanedock-daemon/lanedock_daemon/tests/starts.py
@@ -1,5 +1,5 @@
 # SPDX-License-Identifier: BSD-3-Clause
-"""Processes in whose start something happens at a known moment, for tests of signals."""
+"""Processes that run an action at a known point of their start, for tests of signals."""
 
 import json
 import os
@@ -12,9 +12,9 @@
 __all__ = ["HANG_UP", "MODULES", "TERMINATE", "StartedProcess"]
 
 HOST = "127.0.0.1"
-# Seconds after which a process that doesn't do what is due is killed.
+# Seconds after which a process that has not ended is killed.
 LONG = 20.0
-# First imported at the beginning of a start, and once the settings have been read.
+# Modules first imported at the beginning of a start, and after the settings have been read.
 MODULES = ("gevent", "lanedock_daemon.framed")
 HANG_UP = "os.kill(os.getpid(), signal.SIGHUP)"
 TERMINATE = "os.kill(os.getpid(), signal.SIGTERM)"
@@ -34,23 +34,23 @@
 
 
 class StartedProcess:
-    """A daemon's process.
+    """A daemon's process that runs an action while it starts.
 
     Parameters
     ----------
     folder : pathlib.Path
-        For its settings.
+        Folder for the settings.
     program : str
-        Statement that runs it.
+        Statement that runs the daemon.
     module : str
-        Something happens as it is first imported.
+        Module whose first import triggers the action.
     action : str
-        What happens: a statement, with `os` and `signal` at hand, in the settings' folder.
+        Statement, which may use `os` and `signal`, and runs in the settings' folder.
 
     Attributes
     ----------
     output : str
-        What was read of its log so far.
+        Log output read so far.
     """
 
     def __init__(self, folder: Path, program: str, module: str, action: str):
@@ -67,18 +67,18 @@
         self._limit.start()
 
     def read_until(self, event: str) -> None:
-        """Read its log until an event, or its end."""
+        """Read the log until an event occurs or the log ends."""
         while f'"{event}"' not in self.output and (line := self._process.stdout.readline()):
             self.output += line
 
     def wait(self) -> int:
-        """Wait for its end; returns its exit code."""
+        """Wait for the process to end; return its exit code."""
         self.output += self._process.communicate()[0]
         self._limit.cancel()
         return self._process.returncode
 
     def stop(self) -> int:
-        """Ask it to stop; returns its exit code."""
+        """Send SIGTERM, and wait for the process to end; return its exit code."""
         self._process.terminate()
         return self.wait()
 
--- a/packages/lanedock-daemon/lanedock_daemon/tests/stopping.py
+++ b/packages/lanedock-daemon/lanedock_daemon/tests/stopping.py
@@ -1,5 +1,5 @@
 # SPDX-License-Identifier: BSD-3-Clause
-"""A daemon that is stopped as by a signal, and the requests that tests send it."""
+"""A daemon that is stopped as by a signal, and the requests that tests send to it."""
 
 import json
 
@@ -31,11 +31,12 @@
     "read_outcomes",
 ]
 
-# Seconds; half of it is for callers to go elsewhere.
+# Grace time of a stop, in seconds; callers are served during half of it.
 GRACE = 3.0
 # Longer than any part of a stop, in seconds.
 LONG = 20.0
-# Sent with its head; the longer ones are sent once the other daemon wants them.
+# Lengths of bodies, in bytes. The small one is sent with its head, the longer ones on request
+# of the other daemon.
 SMALL_BODY = ASK_LIMIT
 SHORT_BODY = 60_000
 LONG_BODY = 100_000
@@ -52,7 +53,7 @@
 
 
 class SentRequests(gevent.Greenlet):
-    """Requests that were sent on one connection, and what has come back on it."""
+    """Requests sent on one connection, and the data received on it."""
 
     def __init__(self, address: tuple[str, int], data: bytes):
         super().__init__()
@@ -62,7 +63,7 @@
         self.start()
 
     def send_more(self, data: bytes) -> None:
-        """Send more on the connection."""
+        """Send more data on the connection."""
         self._conn.sendall(data)
 
     def _run(self) -> None:
@@ -77,16 +78,16 @@
     Parameters
     ----------
     folder : Path
-        For its settings.
+        Folder for the settings.
     is_entry : bool
-        Whether it is an entry daemon, else that of an upstream.
+        Whether it is an entry daemon; otherwise it is an upstream's daemon.
     other : Gate, optional
-        What the application behind another daemon does.
+        Controls the application behind the other daemon.
 
     Attributes
     ----------
     own, other : Gate
-        What the application beside it does, and the one behind another daemon.
+        Control the application beside this daemon, and the one behind the other daemon.
     """
 
     def __init__(self, folder, is_entry: bool = False, other=None, **settings):
@@ -99,8 +100,8 @@
         self.ports = dict(zip(("entry", "egress", "upstream", "ready"), free_ports(4), strict=True))
         self.kernel = Kernel()
         self.kernel.add(FramedTransport(None))
-        made = load_settings(str(self._write(folder, is_entry, settings or {"stop_grace_s": GRACE})))
-        add_daemon(self.kernel, made, EventLogger("d"), NullMetrics(), NullTracer())
+        loaded = load_settings(str(self._write(folder, is_entry, settings or {"stop_grace_s": GRACE})))
+        add_daemon(self.kernel, loaded, EventLogger("d"), NullMetrics(), NullTracer())
         self.kernel.start()
         self.view = self.kernel.find("agent")._view
         put_in_force(self.view, value, True)
@@ -137,26 +138,26 @@
         return SentRequests((HOST, self.ports[server]), b"".join(requests))
 
     def read(self, sent: "SentRequests") -> bytes:
-        """Return what comes on a connection until it ends, with the process at the latest."""
+        """Return the data received on a connection until it ends or the daemon has stopped."""
         gevent.wait([sent, *([self.stopping] if self.stopping else [])], timeout=LONG, count=1)
         return sent.received
 
     def learn_times(self, server: str) -> None:
-        """Let the other upstream's daemon see how quick its application is."""
+        """Send a request, from which the other daemon learns the response time of its application."""
         self.other.opened.set()
         answer = self.read(self.begin(server, make_request("/first", close=True)))
         assert answer.startswith(b"HTTP/1.1 200")
         self.other.opened.clear()
 
     def note_time(self, taken: float) -> None:
-        """Let the daemon see a request that takes so many seconds."""
+        """Record a request that took `taken` seconds in the daemon's statistics."""
         balancer = self.view.balancer("s")
         stats = balancer.choose(1, 0.0, frozenset(), False)
         balancer.begin(stats, 0.0)
         balancer.end(stats, False, 0.0, None, taken, False, "post")
 
     def stop(self) -> None:
-        """Begin a stop; returns once callers are sent elsewhere."""
+        """Begin a stop; return once the daemon is not ready for callers."""
         self.stopping = gevent.spawn(self.kernel.stop)
         wait_until(lambda: self.view.is_stopping)
 
@@ -176,13 +177,13 @@
 
 
 def make_daemon_request(path: str, method: str = "POST") -> bytes:
-    """Make a request as another daemon sends it."""
+    """Return a request as another daemon sends it."""
     headers = "x-lanedock-service: s\r\nx-lanedock-class: write\r\nx-lanedock-route: post\r\n"
     return make_request(path, headers=f"{headers}x-request-deadline-ms: {int(LONG * 1000)}\r\n")
 
 
 def read_outcomes(data: bytes) -> list[str]:
-    """Return the outcomes of the answers on a connection; empty for one of an application."""
+    """Return the outcomes of the answers on a connection; an application's answer has an empty one."""
     heads = [part.split(b"\r\n\r\n")[0].decode() for part in data.split(b"HTTP/1.1 ")[1:]]
     return [head.partition("x-request-outcome: ")[2].partition("\r\n")[0] for head in heads]
 
@@ -196,7 +197,7 @@
 
 
 class SilentSide:
-    """A side that never answers."""
+    """A request handler that never answers."""
 
     def __init__(self):
         self.requests = 0
--- a/packages/lanedock-daemon/lanedock_daemon/tests/test_framed.py
+++ b/packages/lanedock-daemon/lanedock_daemon/tests/test_framed.py
@@ -11,26 +11,26 @@
 from lanedock_daemon.framed import FramedTransport
 from lanedock_daemon.sessions import ChildArrived, ChildReported
 from lanedock_daemon.tests.links import (
-    NARROW_RATE,
-    NARROW_SILENCE_LIMIT,
+    SLOW_RATE,
+    SLOW_SILENCE_LIMIT,
     Owner,
-    check_a_full_link_is_opened_anew,
-    check_a_narrow_link_brings_a_long_message,
-    check_a_silent_link_is_opened_anew,
+    check_full_link_is_replaced,
+    check_silent_link_is_replaced,
+    check_slow_link_delivers_long_message,
     free_port,
 )
 from lanedock_daemon.tests.proxies import SilencingProxy
 from lanedock_daemon.transport import SourceEnded
 
 
-def test_what_is_sent_while_a_stream_still_connects_arrives_behind_its_first_message():
+def test_messages_sent_while_a_stream_connects_arrive_after_its_first_message():
     transport = FramedTransport(None)
     address = Address("127.0.0.1", free_port())
     server = Owner()
     listener = transport.serve_daemons(server, address)
     stream = transport.open_source(Owner(), address)
     stream.open(messages.DaemonMessage(floor_token=1))
-    # Nothing has run yet that could have connected.
+    # No other greenlet has run yet, so there is no connection.
     stream.send(messages.DaemonMessage(floor_token=2))
     with gevent.Timeout(5):
         while len(server.posted) < 2:
@@ -42,23 +42,23 @@
     assert isinstance(second, ChildReported) and second.message.floor_token == 2
 
 
-def test_a_link_to_a_replica_that_was_replaced_ends(monkeypatch):
+def test_a_link_to_a_replaced_replica_is_removed_and_made_again_on_demand(monkeypatch):
     monkeypatch.setattr(framed_links, "IDLE_LIMIT", 0.1)
     monkeypatch.setattr(framed_links, "RECONNECT_MAX", 0.05)
     links = FramedTransport(None).peer_links({})
-    gone = f"127.0.0.1:{free_port()}"
-    links.send([messages.PeerMessage(sender="me", receiver=gone)])
-    assert list(links._links) == [gone]
+    replaced = f"127.0.0.1:{free_port()}"
+    links.send([messages.PeerMessage(sender="me", receiver=replaced)])
+    assert list(links._links) == [replaced]
     with gevent.Timeout(5):
         while links._links:
             gevent.sleep(0.01)
-    # Should it take part again, it has a link again.
-    links.send([messages.PeerMessage(sender="me", receiver=gone)])
-    assert list(links._links) == [gone]
+    # If the replica takes part again, a new link is made.
+    links.send([messages.PeerMessage(sender="me", receiver=replaced)])
+    assert list(links._links) == [replaced]
 
 
 def _fill_queue(address: Address) -> list:
-    """Connect until a listener's queue takes no more connections."""
+    """Connect until a listener's queue is full; return the connections."""
     queued = []
     while True:
         try:
@@ -67,8 +67,8 @@
             return queued
 
 
-def test_a_stream_to_a_machine_that_drops_opening_packets_ends_soon():
-    """A listener whose queue of new connections is full drops them, as a machine without power does."""
+def test_a_stream_to_a_machine_that_drops_syn_packets_ends_before_the_retransmission():
+    """A listener whose queue is full drops SYN packets, as a machine without power does."""
     with socket.socket() as listener:
         listener.bind(("127.0.0.1", 0))
         listener.listen(0)
@@ -77,7 +77,7 @@
         owner = Owner()
         stream = FramedTransport(None).open_source(owner, address)
         stream.open(messages.DaemonMessage(floor_token=1))
-        # The kernel sends its second packet after a second.
+        # The kernel retransmits the SYN packet after a second.
         with gevent.Timeout(0.8):
             while not owner.posted:
                 gevent.sleep(0.01)
@@ -88,7 +88,7 @@
 
 
 def _make_link(rate: float = float("inf")):
-    """Make a link through a proxy; yields the links, the peer's name, what it is sent, and the proxy."""
+    """Make a link through a proxy; yield the links, the peer's name, its messages and the proxy."""
     transport = FramedTransport(None)
     peer, target = Owner(), Address("127.0.0.1", free_port())
     listener = transport.serve_control(peer, target)
@@ -105,23 +105,24 @@
 
 
 @pytest.fixture
-def narrow_link(monkeypatch):
-    monkeypatch.setattr(framed_links, "SILENCE_LIMIT", NARROW_SILENCE_LIMIT)
-    yield from _make_link(NARROW_RATE)
+def slow_link(monkeypatch):
+    monkeypatch.setattr(framed_links, "SILENCE_LIMIT", SLOW_SILENCE_LIMIT)
+    yield from _make_link(SLOW_RATE)
 
 
-def test_a_silent_link_is_opened_anew_though_its_peer_is_heard_otherwise(proxied_link):
-    check_a_silent_link_is_opened_anew(*proxied_link)
+def test_a_silent_link_is_replaced_though_messages_arrive_over_the_peers_own_link(proxied_link):
+    check_silent_link_is_replaced(*proxied_link)
 
 
-def test_a_silent_link_is_opened_anew_though_more_waits_than_its_socket_takes(proxied_link):
-    check_a_full_link_is_opened_anew(*proxied_link)
+def test_a_silent_link_is_replaced_though_its_socket_buffer_is_full(proxied_link):
+    check_full_link_is_replaced(*proxied_link)
 
 
-def test_a_narrow_link_is_not_taken_for_silent_while_a_long_message_comes(narrow_link):
-    """Found by reading: a peer that confirms whole messages only is silent while a long one comes.
+def test_a_slow_link_is_not_replaced_while_a_long_message_arrives(slow_link):
+    """Guards against a peer that confirms whole messages only, and is silent during a long one.
 
-    A replica whose disk was lost is sent appends first, which it confirms, and then its snapshot.
-    On a link of 2 Mbit/s one of 400 kB takes longer than the limit, and the link is ended in its middle.
+    A replica whose disk was lost receives appends, which it confirms, and then a snapshot. On a
+    link of 2 Mbit/s a snapshot of 400 kB takes longer than the limit, and the link would be closed
+    in the middle of it.
     """
-    check_a_narrow_link_brings_a_long_message(*narrow_link)
+    check_slow_link_delivers_long_message(*slow_link)
--- a/packages/lanedock-daemon/lanedock_daemon/tests/test_grpc.py
+++ b/packages/lanedock-daemon/lanedock_daemon/tests/test_grpc.py
@@ -1,11 +1,12 @@
 # SPDX-License-Identifier: BSD-3-Clause
 """Tests of the gRPC transport.
 
-A link from a leader to a follower fell silent without a reset, while new connections between
-the two worked. The follower heard no leader, called for votes over its own link several times a
-second, and so was taken for heard by the leader, which never opened the silent link anew: the
-follower stayed without a leader, and its daemons without versions. Shown by the first test
-below, which sends for 10 s over a silent link while the peer is noted as heard.
+The first test guards against a silent link that is never replaced. A link from a leader to a
+follower falls silent without a reset, while new connections between the two work. The follower
+hears no leader, and sends vote requests over its own link several times a second. If these count
+as signs of life of the silent link, the leader never replaces it: the follower has no leader, and
+its daemons receive no versions. The test sends over a silent link for up to 10 s while the peer is
+recorded as heard.
 """
 
 import asyncio
@@ -18,19 +19,19 @@
 from lanedock_daemon.control import peers
 from lanedock_daemon.grpc_transport import GrpcTransport
 from lanedock_daemon.tests.links import (
-    NARROW_RATE,
-    NARROW_SILENCE_LIMIT,
+    SLOW_RATE,
+    SLOW_SILENCE_LIMIT,
     Owner,
-    check_a_full_link_is_opened_anew,
-    check_a_narrow_link_brings_a_long_message,
-    check_a_silent_link_is_opened_anew,
+    check_full_link_is_replaced,
+    check_slow_link_delivers_long_message,
+    check_silent_link_is_replaced,
     free_port,
 )
 from lanedock_daemon.tests.proxies import SilencingProxy
 
 
 class _ThreadedLoop(LoopService):
-    """The loop in a thread of its own: in a test nothing is patched by gevent."""
+    """The loop in a separate thread, because gevent patches nothing in tests."""
 
     def start(self, kernel) -> None:
         running = threading.Event()
@@ -47,16 +48,16 @@
         self._task.join(10)
 
     async def _end_all(self) -> None:
-        """End all tasks, those of servers, too: what is left would be collected in the middle of other tests."""
+        """End all tasks, also of servers: any left would be garbage-collected during other tests."""
         while tasks := asyncio.all_tasks() - {asyncio.current_task()}:
             for task in tasks:
                 task.cancel()
-            # Again: grpclib may turn a cancellation into its own error, after which a link goes on.
+            # Repeated: grpclib may turn a cancellation into its own error, after which a link continues.
             await asyncio.wait(tasks, timeout=0.1)
 
 
 class _Kernel:
-    """Finds the loop."""
+    """A kernel whose only service is the loop."""
 
     def __init__(self, loop: LoopService):
         self._loop = loop
@@ -69,14 +70,14 @@
 def transport():
     loop = _ThreadedLoop()
     loop.start(None)
-    made = GrpcTransport(None)
-    made.start(_Kernel(loop))
-    yield made
+    grpc_transport = GrpcTransport(None)
+    grpc_transport.start(_Kernel(loop))
+    yield grpc_transport
     loop.stop()
 
 
 def _make_link(transport, rate: float = float("inf")):
-    """Make a link through a proxy; yields the links, the peer's name, what it is sent, and the proxy."""
+    """Make a link through a proxy; yield the links, the peer's name, its messages and the proxy."""
     peer, target = Owner(), Address("127.0.0.1", free_port())
     listener = transport.serve_control(peer, target)
     proxy = SilencingProxy((target.host, target.port), rate)
@@ -94,18 +95,18 @@
 
 
 @pytest.fixture
-def narrow_link(monkeypatch, transport):
-    monkeypatch.setattr(peers, "SILENCE_LIMIT", NARROW_SILENCE_LIMIT)
-    yield from _make_link(transport, NARROW_RATE)
+def slow_link(monkeypatch, transport):
+    monkeypatch.setattr(peers, "SILENCE_LIMIT", SLOW_SILENCE_LIMIT)
+    yield from _make_link(transport, SLOW_RATE)
 
 
-def test_a_silent_link_is_opened_anew_though_its_peer_is_heard_otherwise(proxied_link):
-    check_a_silent_link_is_opened_anew(*proxied_link)
+def test_a_silent_link_is_replaced_though_messages_arrive_over_the_peers_own_link(proxied_link):
+    check_silent_link_is_replaced(*proxied_link)
 
 
-def test_a_silent_link_is_opened_anew_though_more_waits_than_its_socket_takes(proxied_link):
-    check_a_full_link_is_opened_anew(*proxied_link)
+def test_a_silent_link_is_replaced_though_its_socket_buffer_is_full(proxied_link):
+    check_full_link_is_replaced(*proxied_link)
 
 
-def test_a_narrow_link_is_not_taken_for_silent_while_a_long_message_comes(narrow_link):
-    check_a_narrow_link_brings_a_long_message(*narrow_link)
+def test_a_slow_link_is_not_replaced_while_a_long_message_arrives(slow_link):
+    check_slow_link_delivers_long_message(*slow_link)
--- a/packages/lanedock-daemon/lanedock_daemon/tests/test_roles.py
+++ b/packages/lanedock-daemon/lanedock_daemon/tests/test_roles.py
@@ -12,7 +12,7 @@
 
 
 class _Agent:
-    """Keeps what it is posted, and what the view was by then."""
+    """Records posted messages, and whether the view was stopping at the time."""
 
     def __init__(self, view: LocalView):
         self.view = view
@@ -25,7 +25,7 @@
 
 
 @pytest.mark.parametrize("linger", [0.0, UPSTREAM_DRAIN + 0.2])
-def test_callers_are_sent_elsewhere_before_the_upstream_takes_no_more_work(linger):
+def test_a_stopping_daemon_tells_callers_before_its_upstream_drains(linger):
     view = LocalView("z", 10.0)
     agent = _Agent(view)
     stopping = gevent.spawn(DrainService(agent, view, StopPlan(linger, linger)).begin_stop)
@@ -37,7 +37,7 @@
     assert agent.was_stopping == [True]
 
 
-def test_an_upstream_whose_daemon_sends_callers_elsewhere_serves_on():
+def test_an_upstream_still_serves_while_its_daemon_is_not_ready_for_callers():
     chain = Chain(None)
     try:
         chain.upstreams[0].view.is_stopping = True
--- a/packages/lanedock-daemon/lanedock_daemon/tests/test_run.py
+++ b/packages/lanedock-daemon/lanedock_daemon/tests/test_run.py
@@ -1,13 +1,11 @@
 # SPDX-License-Identifier: BSD-3-Clause
-"""Tests that a process which is still starting minds its signals and its settings file.
+"""Tests that a starting process handles signals and changes of its settings file.
 
-Processes ended by SIGHUP, which only says that their settings have changed, and some ran
-on with control instances that had been replaced while they started.
-
-Cause: signals were caught last of all in a start, behind imports, settings and services,
-which take 0.4 s and more: until then SIGHUP ends a process, and SIGTERM ends it at
-once. The state of the settings file against which changes are noticed was taken after
-the file had been read: what was written in between never showed.
+They guard against two failures. If signal handlers are installed only after imports, settings
+and services, which take 0.4 s and more, SIGHUP, which reports changed settings, ends a starting
+process, and SIGTERM ends it without a planned stop. If the state of the settings file is recorded
+only after the file was read, a change in between is never noticed, and the process continues with
+control instances that have been replaced.
 """
 
 import pytest
@@ -26,7 +24,7 @@
     assert f'"{event}"' in process.output
 
 
-def test_settings_that_change_once_they_have_been_read_are_read_again(tmp_path):
+def test_settings_that_change_after_they_were_read_are_reloaded(tmp_path):
     process = StartedProcess(tmp_path, PROGRAM, MODULES[-1], "os.replace('changed.json', 'settings.json')")
     process.read_until("RELOADED")
     assert process.stop() == 0
--- a/packages/lanedock-daemon/lanedock_daemon/tests/test_stop_arrivals.py
+++ b/packages/lanedock-daemon/lanedock_daemon/tests/test_stop_arrivals.py
@@ -1,5 +1,5 @@
 # SPDX-License-Identifier: BSD-3-Clause
-"""Tests of requests that arrive while a daemon stops: which are served, and which refused."""
+"""Tests of which requests that arrive while a daemon stops are served, and which are refused."""
 
 import pytest
 
@@ -22,7 +22,7 @@
 
 
 @pytest.mark.parametrize("server", ["entry", "egress"])
-def test_what_cannot_end_before_the_process_does_is_refused_at_once(make_daemon, server):
+def test_a_request_that_cannot_end_before_the_process_does_is_refused_at_once(make_daemon, server):
     daemon = make_daemon(is_entry=server == "entry")
     daemon.note_time(2 * GRACE)
     daemon.stop()
@@ -35,9 +35,9 @@
     assert not daemon.other.begun
 
 
-def test_calls_of_the_application_are_served_while_it_works(make_daemon):
+def test_calls_of_an_application_are_served_while_it_has_requests_in_progress(make_daemon):
     daemon = make_daemon()
-    # Calls of a route that is known to be quick: what may take long has no time left.
+    # Makes the route known as fast: too little time is left for a slow one.
     daemon.note_time(GRACE / 60)
     daemon.other.opened.set()
     sent = daemon.begin("upstream", make_daemon_request("/own"))
@@ -51,7 +51,9 @@
 
 
 @pytest.mark.parametrize("taken,status,outcome", [(0.01, b"200", ""), (GRACE, b"503", "not-run")])
-def test_what_comes_on_a_kept_connection_after_callers_have_gone_is_the_last(make_daemon, taken, status, outcome):
+def test_a_request_on_an_open_connection_during_a_stop_is_answered_and_the_connection_closed(
+    make_daemon, taken, status, outcome
+):
     daemon = make_daemon(is_entry=True)
     daemon.other.opened.set()
     daemon.note_time(taken)
@@ -68,7 +70,7 @@
     assert daemon.other.begun == ([] if outcome else ["/x"])
 
 
-def test_the_application_keeps_its_own_deadline(make_daemon):
+def test_a_stop_does_not_shorten_the_deadline_sent_to_an_application(make_daemon):
     daemon = make_daemon(is_entry=True)
     daemon.other.opened.set()
     daemon.stop()
@@ -78,7 +80,7 @@
     assert "x-lanedock" not in head
 
 
-def test_a_daemon_does_not_begin_on_what_its_sender_cannot_wait_for(make_daemon):
+def test_a_request_that_arrives_after_its_latest_start_is_not_run(make_daemon):
     daemon = make_daemon()
     request = make_daemon_request("/x").replace(
         b"content-length", b"x-lanedock-start-by-ms: 0\r\nconnection: close\r\ncontent-length"
@@ -89,7 +91,7 @@
     assert not daemon.own.begun
 
 
-def test_a_request_that_comes_after_the_final_answers_is_told_that_it_has_not_run():
+def test_a_request_that_arrives_after_the_final_answers_is_answered_with_not_run():
     side, plan = SilentSide(), StopPlan()
     server = PathServer("operators", Address(HOST, 0), side, plan, EventLogger("c"))
     server.start(None)
--- a/packages/lanedock-daemon/lanedock_daemon/tests/test_stops.py
+++ b/packages/lanedock-daemon/lanedock_daemon/tests/test_stops.py
@@ -1,18 +1,13 @@
 # SPDX-License-Identifier: BSD-3-Clause
 """Tests of planned stops, with requests in progress at several servers of a daemon.
 
-What callers saw: they sent an upload some time after SIGTERM, while the daemon still
-accepted requests, and half a second before the grace time was over their connection
-was closed without an answer. Some processes ran on until they were killed.
-
-The order of events: the daemon lingers for its callers for half of the grace time. Then
-its servers stop one after the other, in reverse order of their start, and each waits
-for its own requests for the same limit. Behind the first of them, the next ones still
-accept. When a limit is over, what is in progress at that server is cut, whatever is
-known of it, and the sum of the limits is longer than the grace time.
-
-The cause: each server knew a limit of its own, and neither the servers nor the request
-path knew the one time at which the process has to have answered everything.
+They guard against requests that are cut off without an answer. A daemon serves callers for half
+of the grace time; then its servers stop one after the other, in reverse order of their start.
+If each server waits for its own requests with a limit of its own, later servers still accept
+requests while earlier ones wait, and the sum of the limits exceeds the grace time. Connections,
+such as that of an upload sent some time after SIGTERM, are then closed without an answer half a
+second before the end of the grace time, and some processes run until they are killed. All servers
+and the request path therefore share one deadline for all answers.
 """
 
 import json
@@ -50,9 +45,9 @@
     return daemon.upstream.limiter.waiting == 1
 
 
-# Where a request stands when the daemon stops, at which server it came, and what is
-# known of it in the end.
-_STANDING = {
+# For each position of a request when the daemon stops: the server at which the request arrived,
+# and the outcomes of the final answers on its connection.
+_POSITIONS = {
     "at the application of another daemon": ("egress", ["unknown"]),
     "in chunks at the application of another daemon": ("egress", ["unknown"]),
     "in the queue of another daemon": ("entry", ["unknown"]),
@@ -65,29 +60,29 @@
 }
 
 
-def _send_where(daemon: StoppingDaemon, standing: str, server: str) -> SentRequests:
-    """Send a request, and begin a stop when it stands where it should."""
-    if standing == "at the application beside the daemon":
+def _send_and_stop(daemon: StoppingDaemon, position: str, server: str) -> SentRequests:
+    """Send a request, and begin a stop once the request has reached its position."""
+    if position == "at the application beside the daemon":
         sent = daemon.begin(server, make_daemon_request("/x"))
         wait_until(lambda: daemon.own.begun)
-    elif standing == "its body still to come":
+    elif position == "its body still to come":
         sent = daemon.begin(server, make_request("/x", SHORT_BODY, sent=0))
         wait_until(lambda: daemon.kernel.find(server).in_progress)
-    elif standing == "in chunks at the application of another daemon":
+    elif position == "in chunks at the application of another daemon":
         head = b"POST /x HTTP/1.1\r\nhost: h\r\ntransfer-encoding: chunked\r\n\r\n"
         sent = daemon.begin(server, head, b"5\r\nhello\r\n0\r\n\r\n")
         wait_until(lambda: "/x" in daemon.other.begun)
-    elif standing == "at the application of another daemon":
+    elif position == "at the application of another daemon":
         sent = daemon.begin(server, make_request("/x", SHORT_BODY))
         wait_until(lambda: "/x" in daemon.other.begun)
     else:
-        before = daemon.begin(server, make_request("/before"), make_request("/x")) if "behind" in standing else None
+        before = daemon.begin(server, make_request("/before"), make_request("/x")) if "behind" in position else None
         if before is None:
             daemon.begin(server, make_request("/before"))
         wait_until(lambda: daemon.other.begun[1:])
-        if "while the daemon stops" in standing:
+        if "while the daemon stops" in position:
             daemon.stop()
-        length = {"its long": LONG_BODY, "its short": SHORT_BODY}.get(standing.partition(" body")[0], SMALL_BODY)
+        length = {"its long": LONG_BODY, "its short": SHORT_BODY}.get(position.partition(" body")[0], SMALL_BODY)
         sent = before or daemon.begin(server, make_request("/x", length))
         wait_until(lambda: _is_waiting(daemon))
     if daemon.stopping is None:
@@ -95,22 +90,22 @@
     return sent
 
 
-@pytest.mark.parametrize("standing", _STANDING)
-def test_a_request_that_was_read_has_its_answer_before_the_process_ends(make_daemon, standing):
-    server, outcomes = _STANDING[standing]
+@pytest.mark.parametrize("position", _POSITIONS)
+def test_every_request_that_was_read_is_answered_before_the_process_ends(make_daemon, position):
+    server, outcomes = _POSITIONS[position]
     daemon = make_daemon(is_entry=server == "entry")
-    # What is sent during the stop has to begin well before the deadline then.
+    # A request that is sent during the stop must then start well before the deadline.
     daemon.note_time(GRACE / 10)
     if server != "upstream":
         daemon.learn_times(server)
-    sent = _send_where(daemon, standing, server)
+    sent = _send_and_stop(daemon, position, server)
     assert read_outcomes(daemon.read(sent)) == outcomes
     daemon.stopping.get(timeout=LONG)
     if "not-run" in outcomes:
         assert "/x" not in daemon.other.begun
 
 
-def test_all_servers_share_the_time_that_a_stop_may_take(make_daemon):
+def test_all_servers_share_one_time_limit_for_a_stop(make_daemon):
     daemon = make_daemon()
     sent = [daemon.begin("upstream", make_daemon_request("/own"))]
     sent.append(daemon.begin("egress", make_request("/other")))
@@ -121,7 +116,7 @@
     assert all(read_outcomes(one.received) for one in sent)
 
 
-def test_an_application_is_waited_for_after_callers_are_taken_no_more(make_daemon):
+def test_applications_are_waited_for_after_servers_stop_accepting(make_daemon):
     daemon = make_daemon()
     sent = [daemon.begin("upstream", make_daemon_request("/own")), daemon.begin("egress", make_request("/x"))]
     wait_until(lambda: daemon.own.begun and daemon.other.begun)
@@ -133,7 +128,7 @@
 
 
 class _Stream(Gate):
-    """Sends half of a long answer, and the rest when the gate opens."""
+    """Sends half of a long answer at once, and the rest when the gate opens."""
 
     half = b"." * 100_000
 
@@ -143,7 +138,7 @@
         return self.half
 
 
-def test_an_answer_goes_on_while_the_daemon_stops(make_daemon):
+def test_an_answer_in_progress_is_completed_while_the_daemon_stops(make_daemon):
     daemon = make_daemon(is_entry=True, other=_Stream())
     sent = daemon.begin("entry", make_request("/x"))
     wait_until(lambda: sent.received)
@@ -157,14 +152,14 @@
     "grace,is_daemon,linger,deadline",
     [(6.0, True, 3.0, 5.2), (None, True, 0.0, 2.3), (None, False, 0.0, 2.0)],
 )
-def test_the_deadline_follows_from_the_settings(grace, is_daemon, linger, deadline):
+def test_the_deadline_of_a_stop_is_computed_from_the_settings(grace, is_daemon, linger, deadline):
     daemon = object() if is_daemon else None
     plan = make_stop_plan(SimpleNamespace(stop_grace_s=grace, stop_timeout_ms=2000, daemon=daemon))
     plan.begin(0.0)
     assert (plan.linger, plan.deadline) == pytest.approx((linger, deadline))
 
 
-def test_a_request_whose_side_knows_nothing_of_stops_is_told_unknown():
+def test_a_request_whose_handler_ignores_stops_is_answered_with_unknown():
     side = SilentSide()
     server = PathServer("operators", Address(HOST, 0), side, StopPlan(), EventLogger("c"))
     server.start(None)
@@ -175,7 +170,7 @@
     assert read_outcomes(sent.received) == ["unknown"]
 
 
-def test_signals_that_come_while_a_process_stops_change_nothing(tmp_path):
+def test_signals_during_a_stop_neither_end_nor_delay_the_process(tmp_path):
     ready, entry = free_ports(2)
     limits = {"control": [f"{HOST}:1"], "ready": f"{HOST}:{ready}"}
     settings = {"name": "d", "zone": "z", "transport": "framed", "stop_grace_s": GRACE, "daemon": limits}
@@ -186,8 +181,8 @@
     )
     try:
         wait_until(lambda: is_listening(entry))
-        # A request that never comes to its end: the process has to stop without it.
-        held = SentRequests((HOST, entry), b"POST /x HTTP/1.1\r\n")
+        # The rest of this request never arrives: the process has to stop without it.
+        unfinished = SentRequests((HOST, entry), b"POST /x HTTP/1.1\r\n")
         process.send_signal(signal.SIGTERM)
         process.send_signal(signal.SIGHUP)
         process.send_signal(signal.SIGTERM)
@@ -197,4 +192,4 @@
         process.wait()
     assert process.returncode == 0
     assert [output.count(f'"{event}"') for event in ("STOPPING", "RELOADED", "STOPPED")] == [1, 1, 1]
-    held.join(timeout=LONG)
+    unfinished.join(timeout=LONG)
