--- a/conftest.py
+++ b/conftest.py
@@ -1,5 +1,5 @@
 # SPDX-License-Identifier: BSD-3-Clause
-"""Passes over the tests that KNOWN-RED.txt lists, and fails once one of them passes."""
+"""Marks the tests listed in KNOWN-RED.txt as strict expected failures."""
 
 from pathlib import Path
 
@@ -10,13 +10,18 @@
 
 
 def read_known_red(text: str) -> dict[str, str]:
-    """Return the listed tests with what the list says of each.
+    """Parse the list of known failing tests.
 
     Parameters
     ----------
     text : str
-        A line for each test: its id without parameters, command and seed, what was seen,
-        and its issue, with bars between them. Lines that begin with # are left out.
+        One line per test with four fields separated by bars: test id without parameters, command
+        and seed, observed failure, and issue. Lines that begin with # are ignored.
+
+    Returns
+    -------
+    dict of str to str
+        Test ids and the remaining fields of their lines.
     """
     known = {}
     for line in text.splitlines():
@@ -27,12 +32,12 @@
 
 
 def pytest_configure(config) -> None:
-    """Read the list."""
+    """Read KNOWN-RED.txt if it exists."""
     config.stash[_KEY] = read_known_red(LIST.read_text(encoding="utf-8")) if LIST.exists() else {}
 
 
 def pytest_collection_modifyitems(config, items) -> None:
-    """Expect the listed tests to fail; one that passes fails the run, so that it leaves the list."""
+    """Mark the listed tests as strict xfail: a listed test that passes fails the run until it is unlisted."""
     known = config.stash[_KEY]
     for item in items:
         cause = known.get(item.nodeid.partition("[")[0])
@@ -41,7 +46,7 @@
 
 
 def pytest_terminal_summary(terminalreporter, config) -> None:
-    """Name the listed tests that ran."""
+    """Print the listed tests that ran and failed."""
     failed = [report for report in terminalreporter.stats.get("xfailed", ()) if "known red" in report.wasxfail]
     if failed:
         terminalreporter.section("known red")
--- a/tests/conftest.py
+++ b/tests/conftest.py
@@ -1,5 +1,5 @@
 # SPDX-License-Identifier: BSD-3-Clause
-"""Fixtures: meshes of real processes, and the command line."""
+"""Fixtures for meshes of real processes and an operator who uses the command line."""
 
 import json
 import subprocess
@@ -14,7 +14,14 @@
 
 
 class Operator:
-    """Runs the command line against a mesh."""
+    """Operator that runs the command line against a mesh.
+
+    Parameters
+    ----------
+    mesh : LocalMesh
+    folder : Path
+        Folder in which configuration files are written.
+    """
 
     def __init__(self, mesh: LocalMesh, folder: Path):
         self.mesh = mesh
@@ -22,19 +29,19 @@
         self.value = None
 
     def run(self, *arguments: str) -> tuple[int, object]:
-        """Run a command with --json; returns its exit code and what it printed."""
+        """Run a command with --json; returns its exit code and parsed output, or its stderr without output."""
         command, *rest = arguments
         if command == "canary":
             command, rest = f"{command} {rest[0]}", rest[1:]
         line = [sys.executable, "-m", "lanedock_cli.app", *command.split(), *rest, "--json"]
         if command != "check":
             line += ["--control", self.mesh.control_addresses]
-        done = subprocess.run(line, capture_output=True, text=True, check=False, timeout=60)
-        assert "Traceback" not in done.stderr, done.stderr
-        return done.returncode, json.loads(done.stdout) if done.stdout else done.stderr
+        completed = subprocess.run(line, capture_output=True, text=True, check=False, timeout=60)
+        assert "Traceback" not in completed.stderr, completed.stderr
+        return completed.returncode, json.loads(completed.stdout) if completed.stdout else completed.stderr
 
     def write(self, version: int, change=None) -> Path:
-        """Write the Kijani file under another version number, changed by a function."""
+        """Write the Kijani configuration with a version number, modified by an optional function `change`."""
         from lanedock.findings import read_document
 
         value = read_document(str(EXAMPLES / "kijani.jsonc")).value
@@ -46,20 +53,20 @@
         return path
 
     def apply(self, version: int, change=None, *options: str) -> tuple[int, dict]:
-        """Apply the Kijani file under another version number."""
+        """Write and apply the Kijani configuration; returns the exit code and the answer."""
         return self.run("apply", str(self.write(version, change)), *options)
 
 
 @pytest.fixture
 def mesh(tmp_path):
-    """Make a mesh of three zones and one upstream of each service."""
+    """Start a mesh of three zones with three, two and one upstreams of its services."""
     services = {"checklists": 3, "sightings": 2, "media": 1}
-    with LocalMesh(tmp_path / "mesh", ["nbo-a", "nbo-b", "nbo-c"], services) as made:
-        made.start()
-        yield made
+    with LocalMesh(tmp_path / "mesh", ["nbo-a", "nbo-b", "nbo-c"], services) as local_mesh:
+        local_mesh.start()
+        yield local_mesh
 
 
 @pytest.fixture
 def operator(mesh, tmp_path):
-    """Make an operator of that mesh."""
+    """Make an operator of the mesh."""
     return Operator(mesh, tmp_path)
--- a/tests/crash_mesh.py
+++ b/tests/crash_mesh.py
@@ -1,93 +1,138 @@
 # SPDX-License-Identifier: BSD-3-Clause
-"""A mesh of real processes whose applications crash of some requests, and callers beside these."""
+"""Mesh of real processes whose applications crash on some requests, and a background load of harmless requests."""
 
 import threading
 import time
 
 from crashing_application import CrashingApplication
-from platform_processes import OUT_PORT, PlatformProcesses, call
+from platform_processes import OUTBOUND_PORT, PlatformProcesses, call
 
 from lanedock_platform.tests.test_translation import make_configuration
 
-__all__ = ["DAEMONS", "GAP", "MAX_ARRIVALS", "SERVED", "SETTLE", "Background", "CrashMesh", "make_routes"]
+__all__ = [
+    "DAEMONS",
+    "MAX_ARRIVALS",
+    "MIN_SERVED_FRACTION",
+    "QUARANTINE_DELAY",
+    "SEND_INTERVAL",
+    "BackgroundLoad",
+    "CrashMesh",
+    "make_routes",
+]
 
 DAEMONS, ZONES = 6, 3
-# Seconds between two sends of a request that crashes applications.
-GAP = 0.1
-# Seconds after its third crash from which a request may reach no more than so many applications.
-SETTLE = 3.0
+# Seconds between two sends of a crashing request.
+SEND_INTERVAL = 0.1
+# Seconds after the third crash from which a request may reach at most `MAX_ARRIVALS` more applications.
+QUARANTINE_DELAY = 3.0
 MAX_ARRIVALS = 3
-# Part of the harmless requests that have to be served from the third crash on.
-SERVED = 0.98
+# Minimum fraction of the harmless requests that are served from the third crash on.
+MIN_SERVED_FRACTION = 0.98
 
 
 def make_routes(version: int, base: int, **route) -> dict:
-    """Make a configuration whose second route, the one that may be repeated, goes to the one service there is."""
+    """Make a configuration whose second route, which allows retries, leads to the only service, s1."""
     value = make_configuration(version, base, **route)
     value["routes"][1] |= {"service": "s1", "split": []}
     return value
 
 
 class CrashMesh(PlatformProcesses):
-    """A control instance in each of three zones, and daemons whose applications crash of some requests."""
+    """Three zones with one control instance each, and daemons whose applications crash on some requests.
 
-    def __init__(self, folder, crash_after: float, daemons: int = DAEMONS, is_severable: bool = False):
-        super().__init__(folder, daemons, ZONES, is_severable)
+    Parameters
+    ----------
+    folder : Path
+        Folder for settings, logs and data.
+    crash_after : float
+        Seconds between the arrival of a crashing request and the crash.
+    daemons : int
+    is_partitionable : bool
+        Whether zones can be partitioned from one another.
+    """
+
+    def __init__(self, folder, crash_after: float, daemons: int = DAEMONS, is_partitionable: bool = False):
+        super().__init__(folder, daemons, ZONES, is_partitionable)
         self._crash_after = crash_after
 
     def make_application(self, ip: str, number: int) -> CrashingApplication:
         return CrashingApplication(ip, f"i-{number}", crash_after=self._crash_after)
 
-    def start_beats(self) -> None:
-        """Nothing to do: these applications send their own."""
+    def start_heartbeats(self) -> None:
+        """Do nothing: these applications send their own heartbeats."""
 
-    def arrivals(self, path: str, since: float) -> int:
-        """Return how often a request has begun to run since a time."""
-        made = [item for app in self.applications.values() for item in list(app.arrivals)]
-        return sum(at >= since and path == ran for at, ran, _ in made)
+    def count_arrivals(self, path: str, since: float) -> int:
+        """Return how many applications began to run a request since a monotonic time in seconds."""
+        runs = [run for app in self.applications.values() for run in list(app.arrivals)]
+        return sum(at >= since and path == run_path for at, run_path, _ in runs)
 
     def crashes(self) -> list[float]:
         return sorted(at for app in self.applications.values() for at, _ in list(app.crashes))
 
-    def crash_three(self, request: tuple, numbers: list[int] | None = None) -> float:
-        """Send a request at some daemons, or all, until three applications have ended; returns when the third had."""
+    def crash_three_applications(self, request: tuple, numbers: list[int] | None = None) -> float:
+        """Send a request until three applications have crashed.
+
+        Parameters
+        ----------
+        request : tuple
+            Method, path and optional body.
+        numbers : list of int, optional
+            Numbers of the daemons that receive the request in turn; by default all daemons.
+
+        Returns
+        -------
+        float
+            Monotonic time of the third crash in seconds.
+        """
         numbers = numbers or list(range(len(self.daemons)))
         for sent in range(400):
             if len(self.crashes()) >= 3:
                 break
             self.send(numbers[sent % len(numbers)], *request)
-            time.sleep(GAP)
+            time.sleep(SEND_INTERVAL)
         return self.crashes()[2]
 
-    def crash_three_and_settle(self, request: tuple, numbers: list[int] | None = None) -> float:
-        """Do that, and wait until it may reach hardly any more; returns the time since when."""
-        third = self.crash_three(request, numbers)
-        time.sleep(max(0.0, third + SETTLE + GAP - time.monotonic()))
+    def crash_three_and_wait(self, request: tuple, numbers: list[int] | None = None) -> float:
+        """Crash three applications, and wait until the request may reach at most `MAX_ARRIVALS` more.
+
+        Returns
+        -------
+        float
+            Monotonic time in seconds at the end of the wait.
+        """
+        third = self.crash_three_applications(request, numbers)
+        time.sleep(max(0.0, third + QUARANTINE_DELAY + SEND_INTERVAL - time.monotonic()))
         return time.monotonic()
 
     def send(self, number: int, method: str, path: str, body: bytes | list[bytes] = b"") -> int:
-        """Send a request at one of the daemons; returns its status, 0 where there was no answer.
+        """Send a request to a daemon; returns the response status, or 0 without a response.
 
-        A body in pieces is sent in chunks.
+        A body given as a list is sent with chunked transfer encoding.
         """
         headers = {"Host": "shop.example", "X-Request-Id": f"{time.monotonic_ns()}", "X-Deadline-Ms": "2000"}
         try:
-            return call(self.daemons[number % len(self.daemons)], OUT_PORT, method, path, body, headers)[0]
+            return call(self.daemons[number % len(self.daemons)], OUTBOUND_PORT, method, path, body, headers)[0]
         except OSError:
             return 0
 
 
-class Background:
-    """Callers that send harmless requests on the same route, one after the other.
+class BackgroundLoad:
+    """Callers, one per daemon, that send harmless requests sequentially.
+
+    Parameters
+    ----------
+    mesh : CrashMesh
+    path : str
+        Path with the optional placeholders ``{caller}`` and ``{number}``.
 
     Attributes
     ----------
-    ended : list of tuple of (float, int)
-        Monotonic seconds of the send, and status.
+    results : list of tuple of (float, int)
+        Monotonic time of the send in seconds, and response status.
     """
 
     def __init__(self, mesh: CrashMesh, path: str):
-        self.ended: list[tuple[float, int]] = []
+        self.results: list[tuple[float, int]] = []
         self._mesh = mesh
         self._path = path
         self._is_stopped = threading.Event()
@@ -101,14 +146,14 @@
             sent += 1
             path = self._path.format(caller=number, number=sent)
             at = time.monotonic()
-            self.ended.append((at, self._mesh.send(number, "GET", path)))
+            self.results.append((at, self._mesh.send(number, "GET", path)))
 
     def stop(self) -> None:
         self._is_stopped.set()
         for thread in self._threads:
             thread.join()
 
-    def served(self, since: float) -> float:
-        """Return the part of the requests sent since a time that were served."""
-        statuses = [status for at, status in self.ended if at >= since]
+    def served_fraction(self, since: float) -> float:
+        """Return the fraction of the requests sent since a monotonic time in seconds that got status 200."""
+        statuses = [status for at, status in self.results if at >= since]
         return statuses.count(200) / len(statuses)
--- a/tests/crashing_application.py
+++ b/tests/crashing_application.py
@@ -1,5 +1,5 @@
 # SPDX-License-Identifier: BSD-3-Clause
-"""A backend that some requests crash: it resets all its connections, and starts again under another id."""
+"""Backend that crashes on some requests: it resets all its connections and restarts under another id."""
 
 import json
 import socket
@@ -7,59 +7,62 @@
 import threading
 import time
 
-from platform_processes import APP_PORT, CONTROL_PORT, OUT_PORT, call
+from platform_processes import APP_PORT, CONTROL_PORT, OUTBOUND_PORT, call
 
 from lanedock_platform.tests.beats import make_beat
 
-__all__ = ["CALLS", "POISON", "CrashingApplication"]
+__all__ = ["CALL_PATH_PREFIX", "POISON", "CrashingApplication"]
 
-# For SO_LINGER: on, for no time.
-_RESET = struct.pack("ii", 1, 0)
-# Seconds for which it is away after a crash.
-AWAY = 1.0
-# Part of a path that ends the application once it begins to run such a request.
+# Value of SO_LINGER that is enabled with a timeout of 0: `close` resets the connection.
+_LINGER_RESET = struct.pack("ii", 1, 0)
+# Seconds between a crash and the start of the next incarnation.
+RESTART_DELAY = 1.0
+# Requests with this text in the path, or at the end of the body, crash the application.
 POISON = "poison"
-# Beginning of a path whose run calls the rest of it, through the daemon beside it.
-CALLS = "/c/calls"
-BEAT_INTERVAL = 0.3
+# Requests with this path prefix call the rest of the path through the local daemon.
+CALL_PATH_PREFIX = "/c/calls"
+HEARTBEAT_INTERVAL = 0.3  # seconds
 HEALTH_PATH = "/health"
 
 
 class CrashingApplication:
-    """Answers requests, and crashes of those whose path or body says so.
+    """HTTP backend that crashes on requests that contain `POISON`.
 
     Parameters
     ----------
     ip : str
     upstream : str
-        Id of its first start; later ones have a number behind it.
-    work, crash_after : float
-        Seconds that a harmless request runs, and one that crashes it before it does.
+        Base of the upstream id; each incarnation appends its number.
+    work : float
+        Processing time of a harmless request in seconds.
+    crash_after : float
+        Seconds between the arrival of a crashing request and the crash.
 
     Attributes
     ----------
     arrivals : list of tuple of (float, str, str)
-        Monotonic seconds, path and start of the application of all that it has begun to run.
+        Monotonic time in seconds, path and incarnation of each request that began to run.
     crashes : list of tuple of (float, str)
-        Monotonic seconds and start of the application.
-    stated_limits : list of tuple of (float, str, float or None)
-        Monotonic seconds, start, and the rate limit that its answers state from then on.
-    left_at : dict of str to float
-        Monotonic seconds of the first answer of a start which stated that it leaves.
+        Monotonic time in seconds and incarnation of each crash.
+    advertised_limits : list of tuple of (float, str, float or None)
+        Monotonic time in seconds, incarnation, and the rate limit in requests per second that
+        responses advertise from then on.
+    drain_advertised_at : dict of str to float
+        Monotonic time in seconds of the first response of an incarnation that advertised draining.
     """
 
     def __init__(self, ip: str, upstream: str, work: float = 0.02, crash_after: float = 0.0):
         self.arrivals: list[tuple[float, str, str]] = []
         self.crashes: list[tuple[float, str]] = []
-        self.stated_limits: list[tuple[float, str, float | None]] = []
-        self.left_at: dict[str, float] = {}
+        self.advertised_limits: list[tuple[float, str, float | None]] = []
+        self.drain_advertised_at: dict[str, float] = {}
         self.crash_after = crash_after
         self._rate_limit: float | None = None
-        self._states_drain = False
+        self._advertises_drain = False
         self.work = work
         self._ip = ip
         self._name = upstream
-        self._starts = 0
+        self._incarnation_number = 0
         self._sequence = 0
         self._is_draining = False
         self._conns: set[socket.socket] = set()
@@ -67,73 +70,78 @@
         self._is_stopped = threading.Event()
         self._listener: socket.socket | None = None
         self._start()
-        threading.Thread(target=self._beat, daemon=True).start()
+        threading.Thread(target=self._send_heartbeats, daemon=True).start()
 
     @property
     def upstream(self) -> str:
-        """Id of the present start."""
-        return f"{self._name}.{self._starts}"
+        """Upstream id of the current incarnation."""
+        return f"{self._name}.{self._incarnation_number}"
 
     def _start(self) -> None:
         with self._lock:
-            self._starts += 1
+            self._incarnation_number += 1
             self._sequence = 0
-            self._is_draining = self._states_drain = False
+            self._is_draining = self._advertises_drain = False
             self._listener = socket.socket()
             self._listener.setsockopt(socket.SOL_SOCKET, socket.SO_REUSEADDR, 1)
             self._listener.bind((self._ip, APP_PORT))
             self._listener.listen(128)
         threading.Thread(target=self._accept, args=(self._listener,), daemon=True).start()
 
-    def crash(self, start: str) -> None:
-        """End one start of the application: reset all connections, and come back after a while."""
-        if self._end(start):
-            self.crashes.append((time.monotonic(), start))
+    def crash(self, incarnation: str) -> None:
+        """Crash an incarnation: reset all connections, and start the next one after `RESTART_DELAY`."""
+        if self._terminate(incarnation):
+            self.crashes.append((time.monotonic(), incarnation))
 
     def limit(self, rate: float | None) -> None:
-        """Have all answers state a rate limit from now on; None for none."""
+        """Advertise a rate limit in requests per second in all responses from now on; None for no limit."""
         self._rate_limit = rate
-        self.stated_limits.append((time.monotonic(), self.upstream, rate))
+        self.advertised_limits.append((time.monotonic(), self.upstream, rate))
 
-    def _stated(self, start: str) -> str:
-        """Return the lines by which an answer states what holds of the application."""
+    def _advertise(self, incarnation: str) -> str:
+        """Return the header lines that advertise the rate limit and draining."""
         lines = f"Server-Limit: {self._rate_limit:g}\r\n" if self._rate_limit is not None else ""
-        if self._states_drain and start == self.upstream:
+        if self._advertises_drain and incarnation == self.upstream:
             lines += "Server-Leaving: 1\r\n"
-            self.left_at.setdefault(start, time.monotonic())
+            self.drain_advertised_at.setdefault(incarnation, time.monotonic())
         return lines
 
-    def replace(self, drain: float, by_answers: bool = False) -> None:
-        """Announce that the application leaves, end it after so many seconds, and start the next one.
+    def replace(self, drain: float, by_responses: bool = False) -> None:
+        """Announce draining, terminate the incarnation, and start the next one.
 
-        By its heartbeats, or by its answers alone.
+        Parameters
+        ----------
+        drain : float
+            Seconds between the announcement and the termination.
+        by_responses : bool
+            Whether only responses announce the draining, instead of heartbeats.
         """
-        start = self.upstream
-        self._is_draining, self._states_drain = not by_answers, by_answers
+        incarnation = self.upstream
+        self._is_draining, self._advertises_drain = not by_responses, by_responses
         if not self._is_stopped.wait(drain):
-            self._end(start)
+            self._terminate(incarnation)
 
-    def _end(self, start: str) -> bool:
-        """End one start of the application; returns whether it had not ended before."""
+    def _terminate(self, incarnation: str) -> bool:
+        """Terminate an incarnation; returns False if it has already been terminated."""
         with self._lock:
-            if self._listener is None or start != self.upstream:
+            if self._listener is None or incarnation != self.upstream:
                 return False
             listener, self._listener = self._listener, None
             conns, self._conns = self._conns, set()
-        # Wakes whoever waits for connections, which `close` alone does not.
+        # `shutdown` wakes the thread blocked in `accept`; `close` alone does not.
         listener.shutdown(socket.SHUT_RDWR)
         listener.close()
         for conn in conns:
             _reset(conn)
-        threading.Timer(AWAY, self._come_back).start()
+        threading.Timer(RESTART_DELAY, self._start_unless_stopped).start()
         return True
 
-    def _come_back(self) -> None:
+    def _start_unless_stopped(self) -> None:
         if not self._is_stopped.is_set():
             self._start()
 
     def stop(self) -> None:
-        """Stop for good."""
+        """Stop without starting another incarnation."""
         self._is_stopped.set()
         with self._lock:
             listener, self._listener = self._listener, None
@@ -141,8 +149,8 @@
             listener.shutdown(socket.SHUT_RDWR)
             listener.close()
 
-    def _beat(self) -> None:
-        while not self._is_stopped.wait(BEAT_INTERVAL):
+    def _send_heartbeats(self) -> None:
+        while not self._is_stopped.wait(HEARTBEAT_INTERVAL):
             with self._lock:
                 if self._listener is None:
                     continue
@@ -152,10 +160,10 @@
             try:
                 call(self._ip, CONTROL_PORT, "POST", path, json.dumps(body).encode())
             except OSError:
-                pass  # its daemon is not up yet, or is down
+                pass  # the daemon is not listening
 
     def _accept(self, listener: socket.socket) -> None:
-        start = self.upstream
+        incarnation = self.upstream
         while True:
             try:
                 conn, _ = listener.accept()
@@ -166,14 +174,14 @@
                 if is_up:
                     self._conns.add(conn)
             if is_up:
-                threading.Thread(target=self._serve, args=(conn, start), daemon=True).start()
+                threading.Thread(target=self._serve, args=(conn, incarnation), daemon=True).start()
             else:
                 _reset(conn)
 
-    def _serve(self, conn: socket.socket, start: str) -> None:
+    def _serve(self, conn: socket.socket, incarnation: str) -> None:
         try:
             reader = conn.makefile("rb")
-            while self._serve_one(conn, reader, start):
+            while self._serve_one(conn, reader, incarnation):
                 pass
         except (OSError, ValueError):
             pass  # the connection was reset
@@ -182,39 +190,42 @@
                 self._conns.discard(conn)
             conn.close()
 
-    def _serve_one(self, conn: socket.socket, reader, start: str) -> bool:
+    def _serve_one(self, conn: socket.socket, reader, incarnation: str) -> bool:
         first = reader.readline().decode("latin-1")
         if not first:
             return False
         path, headers = first.split(" ")[1], _read_headers(reader)
         body = _read_body(reader, headers)
         if path == HEALTH_PATH:
-            fields = f"X-Instance-Id: {start}\r\n{self._stated(start)}Content-Length: 0"
+            fields = f"X-Instance-Id: {incarnation}\r\n{self._advertise(incarnation)}Content-Length: 0"
             conn.sendall(f"HTTP/1.1 200 OK\r\n{fields}\r\n\r\n".encode())
             return True
-        if headers.get("x-expect-instance", start) != start:
+        if headers.get("x-expect-instance", incarnation) != incarnation:
             conn.sendall(b"HTTP/1.1 421 Misdirected\r\nX-Not-Executed: 1\r\nContent-Length: 0\r\n\r\n")
             return True
-        self.arrivals.append((time.monotonic(), path, start))
-        calls = path.startswith(CALLS)
-        if (POISON in path and not calls) or body.endswith(POISON.encode()):
+        self.arrivals.append((time.monotonic(), path, incarnation))
+        makes_call = path.startswith(CALL_PATH_PREFIX)
+        if (POISON in path and not makes_call) or body.endswith(POISON.encode()):
             time.sleep(self.crash_after)
-            self.crash(start)
+            self.crash(incarnation)
             return False
         time.sleep(self.work)
         request_id = headers["x-request-id"]
         status = "200 OK"
-        if calls and self._call(path.removeprefix(CALLS), f"{request_id}-1") != 200:
+        if makes_call and self._call(path.removeprefix(CALL_PATH_PREFIX), f"{request_id}-1") != 200:
             status = "500 A call has failed"
-        fields = f"X-Request-Id: {request_id}\r\nX-Server-Stamp: {start}\r\n{self._stated(start)}Content-Length: 2"
+        fields = (
+            f"X-Request-Id: {request_id}\r\nX-Server-Stamp: {incarnation}\r\n"
+            f"{self._advertise(incarnation)}Content-Length: 2"
+        )
         conn.sendall(f"HTTP/1.1 {status}\r\n{fields}\r\n\r\nok".encode())
         return True
 
     def _call(self, path: str, request_id: str) -> int:
-        """Send a request of its own through the daemon beside it; returns its status, 0 where there is none."""
+        """Send a nested request through the local daemon; returns its status, or 0 without a response."""
         headers = {"Host": "shop.example", "X-Request-Id": request_id, "X-Deadline-Ms": "1000"}
         try:
-            return call(self._ip, OUT_PORT, "GET", path, headers=headers)[0]
+            return call(self._ip, OUTBOUND_PORT, "GET", path, headers=headers)[0]
         except OSError:
             return 0
 
@@ -239,11 +250,11 @@
 
 
 def _reset(conn: socket.socket) -> None:
-    """Close a connection so that its other end is reset."""
+    """Close a connection with a TCP reset."""
     try:
-        conn.setsockopt(socket.SOL_SOCKET, socket.SO_LINGER, _RESET)
-        # A thread that reads holds the descriptor: it is woken first.
+        conn.setsockopt(socket.SOL_SOCKET, socket.SO_LINGER, _LINGER_RESET)
+        # A thread blocked in a read keeps the descriptor open; `shutdown` wakes it first.
         conn.shutdown(socket.SHUT_RD)
         conn.close()
     except OSError:
-        pass  # it has gone already
+        pass  # the connection is already closed
--- a/tests/hooks/severable_links.py
+++ b/tests/hooks/severable_links.py
@@ -1,22 +1,22 @@
 # SPDX-License-Identifier: BSD-3-Clause
-"""Makes a process's connections to other instances go through a relay that can sever them.
+"""Routes a process's connections to other instances through a relay that can simulate network partitions.
 
-Between real machines a cut drops packets; loopback addresses know no such thing. See
-`links.py` for the relay.
+A partition between machines drops packets, which cannot be done between loopback addresses
+without the relay. See `links.py` for the relay.
 """
 
 import os
 
 __all__ = ["ACCEPTED", "RELAY_VARIABLE", "SOURCE_VARIABLE", "install"]
 
-# Port of the relay, at the same address for all, and the address of the own instance.
+# Environment variables: address and port of the relay, and IP address of this instance.
 RELAY_VARIABLE, SOURCE_VARIABLE = "LANEDOCK_TEST_RELAY", "LANEDOCK_TEST_SOURCE"
-# The relay's answer once the other end has accepted the connection; it closes where it hasn't.
+# Byte that the relay sends once the target has accepted; on refusal it closes the connection instead.
 ACCEPTED = b"+"
 
 
 def install() -> None:
-    """Replace how this process connects, if it was told of a relay."""
+    """Patch `socket.connect` if the environment names a relay."""
     if RELAY_VARIABLE not in os.environ:
         return
     from gevent import socket
@@ -31,6 +31,6 @@
         connect(conn, relay)
         conn.sendall(f"{source} {address[0]} {address[1]}\n".encode())
         if conn.recv(1) != ACCEPTED:
-            raise ConnectionRefusedError(f"{address}: refused")
+            raise ConnectionRefusedError(f"relay could not connect {source} to {address}")
 
     socket.socket.connect = connect_through
--- a/tests/hooks/sitecustomize.py
+++ b/tests/hooks/sitecustomize.py
@@ -1,5 +1,5 @@
 # SPDX-License-Identifier: BSD-3-Clause
-"""Puts into each process that is started with this folder on its path what a test does to instances."""
+"""Installs the test hooks in each Python process that has this folder on its path."""
 
 import severable_links
 import suspendable_clocks
--- a/tests/hooks/suspendable_clocks.py
+++ b/tests/hooks/suspendable_clocks.py
@@ -1,36 +1,36 @@
 # SPDX-License-Identifier: BSD-3-Clause
-"""Makes a stopped process see the clocks that a suspended machine has.
+"""Simulates the clocks of a suspended machine in a process that is stopped by a signal.
 
-While a process is stopped by a signal its steady clock runs on; on a machine that is
-suspended it does not, and only the clock that counts suspension does. A process that looks
-at its clock many times a second, as lanedock's do, was stopped where it hasn't for a while.
+The monotonic clock runs on while a process is stopped, but stands still while a machine is
+suspended; only the boot-time clock counts suspension. Lanedock processes read their clock many
+times a second, so a long gap between two reads indicates that the process was stopped.
 """
 
 import time
 
 __all__ = ["install"]
 
-# Seconds between two looks that are taken for a stop.
-_STOPPED = 0.7
-_steady, _gettime = time.monotonic, time.clock_gettime
-_seen_at = _steady()
-_stopped_for = 0.0
+# Seconds between two clock reads above which the process is considered to have been stopped.
+_SUSPENSION_THRESHOLD = 0.7
+_original_monotonic, _original_gettime = time.monotonic, time.clock_gettime
+_last_read = _original_monotonic()
+_suspended_time = 0.0
 
 
 def _monotonic() -> float:
-    global _seen_at, _stopped_for
-    now = _steady()
-    if now - _seen_at > _STOPPED:
-        _stopped_for += now - _seen_at
-    _seen_at = now
-    return now - _stopped_for
+    global _last_read, _suspended_time
+    now = _original_monotonic()
+    if now - _last_read > _SUSPENSION_THRESHOLD:
+        _suspended_time += now - _last_read
+    _last_read = now
+    return now - _suspended_time
 
 
 def _clock_gettime(clock: int) -> float:
-    return _monotonic() if clock == time.CLOCK_MONOTONIC else _gettime(clock)
+    return _monotonic() if clock == time.CLOCK_MONOTONIC else _original_gettime(clock)
 
 
 def install() -> None:
-    """Replace this process's clocks."""
+    """Patch the monotonic clock functions of this process."""
     time.monotonic = _monotonic
     time.clock_gettime = _clock_gettime
--- a/tests/links.py
+++ b/tests/links.py
@@ -1,12 +1,12 @@
 # SPDX-License-Identifier: BSD-3-Clause
-"""Connections between instances that can be severed, as a cut between zones does it.
+"""Relay that simulates network partitions between zones.
 
-The processes connect through a relay of its own process (see `hooks/severable_links.py`). While
-two instances are severed nothing passes between them, in either direction: what was sent is held,
-new connections are not accepted, and nobody is told. After a while both ends are reset, as the
-kernel does it where nothing is acknowledged. What is still held once the cut is over is delivered.
+All processes connect through a relay process (see `hooks/severable_links.py`). While two instances
+are partitioned, the relay holds the data sent in both directions and does not accept new connections
+between them, without informing either side. After `RESET_DELAY` it resets both ends, as the kernel
+does when nothing is acknowledged. Data still held when the partition ends is delivered.
 
-The relay's program reads a line for each change: a list of pairs of addresses that are severed.
+The relay reads one JSON line from stdin per change: the list of all address pairs that are partitioned.
 """
 
 import asyncio
@@ -18,20 +18,25 @@
 
 from hooks.severable_links import ACCEPTED
 
-__all__ = ["HELD", "Links"]
+__all__ = ["RESET_DELAY", "RelayProcess"]
 
-# Seconds for which a severed connection stays open: three unanswered probes of the kernel.
-HELD = 2.0
-_PIECE = 65536
+# Seconds until a partitioned connection is reset: three unanswered keepalive probes of the kernel.
+RESET_DELAY = 2.0
+_CHUNK_SIZE = 65536
 
 
-class Links:
-    """The relay's process.
+class RelayProcess:
+    """Handle of the relay, which runs as a separate process.
 
     Parameters
     ----------
     host : str
-        Address that it listens at.
+        IP address on which the relay listens.
+
+    Attributes
+    ----------
+    address : str
+        Host and port on which the relay listens.
     """
 
     def __init__(self, host: str):
@@ -39,26 +44,33 @@
         self._process = subprocess.Popen(line, stdin=subprocess.PIPE, stdout=subprocess.PIPE)
         self.address = self._process.stdout.readline().decode().strip()
 
-    def sever(self, cuts: list[tuple[list[str], list[str]]]) -> None:
-        """Sever each address of one list from each of the other, for each of these pairs, and no others."""
-        pairs = [pair for one, other in cuts for pair in product(one, other)]
+    def set_partitions(self, partitions: list[tuple[list[str], list[str]]]) -> None:
+        """Replace all partitions.
+
+        Parameters
+        ----------
+        partitions : list of tuple of (list of str, list of str)
+            Each address of the first list is partitioned from each address of the second one.
+        """
+        pairs = [pair for one, other in partitions for pair in product(one, other)]
         self._process.stdin.write(json.dumps(pairs).encode() + b"\n")
         self._process.stdin.flush()
 
     def stop(self) -> None:
-        """End the relay and all connections through it."""
+        """Kill the relay, which closes all connections through it."""
         self._process.kill()
         self._process.wait()
 
 
 class _Link:
-    """Between two instances.
+    """Connections between two instances.
 
     Attributes
     ----------
     is_open : asyncio.Event
+        Set while the two instances are not partitioned.
     conns : set of asyncio.StreamWriter
-        Of both ends of all connections.
+        Writers to both ends of all connections.
     """
 
     def __init__(self):
@@ -67,14 +79,14 @@
         self.conns: set[asyncio.StreamWriter] = set()
         self._timer: asyncio.TimerHandle | None = None
 
-    def set_severed(self, is_severed: bool) -> None:
-        if not is_severed:
+    def set_partitioned(self, is_partitioned: bool) -> None:
+        if not is_partitioned:
             self.is_open.set()
             if self._timer is not None:
                 self._timer.cancel()
         elif self.is_open.is_set():
             self.is_open.clear()
-            self._timer = asyncio.get_running_loop().call_later(HELD, self._reset)
+            self._timer = asyncio.get_running_loop().call_later(RESET_DELAY, self._reset)
 
     def _reset(self) -> None:
         for conn in self.conns:
@@ -84,21 +96,21 @@
 class _Relay:
     def __init__(self):
         self._links: dict[frozenset[str], _Link] = {}
-        self._severed: set[frozenset[str]] = set()
+        self._partitioned: set[frozenset[str]] = set()
 
-    def sever(self, pairs: set[frozenset[str]]) -> None:
-        self._severed = pairs
+    def set_partitions(self, pairs: set[frozenset[str]]) -> None:
+        self._partitioned = pairs
         for pair, link in self._links.items():
-            link.set_severed(pair in pairs)
+            link.set_partitioned(pair in pairs)
 
-    def _find(self, pair: frozenset[str]) -> _Link:
+    def _get_link(self, pair: frozenset[str]) -> _Link:
         link = self._links.setdefault(pair, _Link())
-        link.set_severed(pair in self._severed)
+        link.set_partitioned(pair in self._partitioned)
         return link
 
     async def accept(self, reader: asyncio.StreamReader, writer: asyncio.StreamWriter) -> None:
         source, host, port = (await reader.readline()).decode().split()
-        link = self._find(frozenset((source, host)))
+        link = self._get_link(frozenset((source, host)))
         link.conns.add(writer)
         other = None
         try:
@@ -106,22 +118,22 @@
             other_reader, other = await asyncio.open_connection(host, int(port), local_addr=(source, 0))
             link.conns.add(other)
             writer.write(ACCEPTED)
-            await asyncio.gather(_pump(reader, other, link), _pump(other_reader, writer, link))
-            end = asyncio.StreamWriter.close
+            await asyncio.gather(_forward(reader, other, link), _forward(other_reader, writer, link))
+            close = asyncio.StreamWriter.close
         except OSError:
-            end = _reset  # refused, or reset by one end: so is the other
+            close = _reset  # the target refused, or one end reset the connection
         await link.is_open.wait()
         for conn in filter(None, (writer, other)):
             link.conns.discard(conn)
-            end(conn)
+            close(conn)
 
 
 def _reset(conn: asyncio.StreamWriter) -> None:
     conn.transport.abort()
 
 
-async def _pump(reader: asyncio.StreamReader, writer: asyncio.StreamWriter, link: _Link) -> None:
-    while data := await reader.read(_PIECE):
+async def _forward(reader: asyncio.StreamReader, writer: asyncio.StreamWriter, link: _Link) -> None:
+    while data := await reader.read(_CHUNK_SIZE):
         await link.is_open.wait()
         writer.write(data)
         await writer.drain()
@@ -138,7 +150,7 @@
     lines = asyncio.StreamReader()
     await loop.connect_read_pipe(lambda: asyncio.StreamReaderProtocol(lines), sys.stdin)
     while line := await lines.readline():
-        relay.sever({frozenset(pair) for pair in json.loads(line)})
+        relay.set_partitions({frozenset(pair) for pair in json.loads(line)})
 
 
 if __name__ == "__main__":
--- a/tests/platform_processes.py
+++ b/tests/platform_processes.py
@@ -1,8 +1,8 @@
 # SPDX-License-Identifier: BSD-3-Clause
-"""The platform's program as real processes, with a stand-in for the backend beside each daemon.
+"""Runs the platform program as real processes, with a simulated backend beside each daemon.
 
-Each instance has a loopback address of its own, as they share ports otherwise, and each
-platform a network, so that several runs on a machine don't meet.
+All instances use the same ports, so each has its own loopback address. Each platform uses its own
+loopback network, so that concurrent test runs on a machine do not collide.
 """
 
 import http.client
@@ -18,40 +18,53 @@
 from pathlib import Path
 
 from hooks.severable_links import RELAY_VARIABLE, SOURCE_VARIABLE
-from links import Links
+from links import RelayProcess
 
 from lanedock_platform.tests.beats import make_beat
 
 HOOKS = Path(__file__).parent / "hooks"
 ROOT = Path(__file__).parent.parent
-MESH_PORT, CONTROL_PORT, READY_PORT, IN_PORT, OUT_PORT, APP_PORT = 17600, 17620, 17625, 17624, 17629, 17628
+MESH_PORT, CONTROL_PORT, READY_PORT, INBOUND_PORT, OUTBOUND_PORT, APP_PORT = 17600, 17620, 17625, 17624, 17629, 17628
 METRICS_PORT = 9464
-TIMEOUT = 30.0
+TIMEOUT = 30.0  # seconds
 
 
-def _claim_network() -> tuple[socket.socket, str]:
-    """Find a loopback network that no other run has; it is ours until the socket is closed."""
+def _reserve_network() -> tuple[socket.socket, str]:
+    """Reserve a loopback network that no other run uses.
+
+    Returns
+    -------
+    socket.socket
+        Holds the reservation until it is closed.
+    str
+        First three octets of the network.
+    """
     for number in range(os.getpid(), os.getpid() + 1000):
         network = f"127.{1 + number // 256 % 254}.{number % 256}"
-        claim = socket.socket()
+        reservation = socket.socket()
         try:
-            claim.bind((f"{network}.254", APP_PORT))
-            return claim, network
+            reservation.bind((f"{network}.254", APP_PORT))
+            return reservation, network
         except OSError:
-            claim.close()
-    raise OSError("no loopback network is free")
+            reservation.close()
+    raise OSError("no loopback network is free: tried 1000 networks")
 
 
 class Application(ThreadingHTTPServer):
-    """A backend: it answers, keeps what it was sent, and heartbeats.
+    """Backend that echoes request bodies, records request headers, and sends heartbeats.
 
     Parameters
     ----------
     ip, upstream : str
     version : str
-        Of its software.
+        Software version reported in heartbeats.
     is_failing : bool
-        Whether all its answers are failures.
+        Whether all responses have status 500.
+
+    Attributes
+    ----------
+    received_headers : list of dict
+        Headers of each request, with names in lower case.
     """
 
     daemon_threads = True
@@ -60,18 +73,18 @@
         self.upstream = upstream
         self.version = version
         self.is_failing = is_failing
-        self.born = time.time_ns() // 1_000_000
-        self.seen: list[dict] = []
+        self.start_time_ms = time.time_ns() // 1_000_000
+        self.received_headers: list[dict] = []
         self.sequence = 0
-        self._beating = threading.Lock()
+        self._heartbeat_lock = threading.Lock()
         super().__init__((ip, APP_PORT), _Handler)
         threading.Thread(target=self.serve_forever, daemon=True).start()
 
-    def beat(self, state: str = "ready") -> int:
-        # One at a time, as an application sends them: none overtakes one with a lower sequence.
-        with self._beating:
+    def send_heartbeat(self, state: str = "ready") -> int:
+        # Sends one heartbeat at a time: none overtakes one with a lower sequence number.
+        with self._heartbeat_lock:
             self.sequence += 1
-            body = make_beat(state, self.sequence, born=self.born, version=self.version)
+            body = make_beat(state, self.sequence, born=self.start_time_ms, version=self.version)
             path = f"/Instances.Heartbeat/{self.upstream}"
             return call(self.server_address[0], CONTROL_PORT, "POST", path, json.dumps(body).encode())[0]
 
@@ -80,10 +93,10 @@
         self.shutdown()
         self.server_close()
 
-    def start_again(self) -> None:
-        """Begin another incarnation under the same id: its heartbeats are numbered anew."""
-        with self._beating:
-            self.born += 1
+    def start_new_incarnation(self) -> None:
+        """Begin a new incarnation under the same id; its heartbeat sequence numbers start again at 1."""
+        with self._heartbeat_lock:
+            self.start_time_ms += 1
             self.sequence = 0
 
 
@@ -92,7 +105,7 @@
 
     def do_POST(self) -> None:
         body = self.rfile.read(int(self.headers.get("content-length", 0)))
-        self.server.seen.append({name.lower(): value for name, value in self.headers.items()})
+        self.server.received_headers.append({name.lower(): value for name, value in self.headers.items()})
         self.send_response(500 if self.server.is_failing else 200)
         self.send_header("X-Request-Id", self.headers["X-Request-Id"])
         self.send_header("X-Server-Stamp", self.server.upstream)
@@ -115,27 +128,28 @@
 
 
 class PlatformProcesses:
-    """Three control instances, some daemons, and a backend beside each.
+    """Three control instances, and daemons with a backend beside each.
 
     Parameters
     ----------
     folder : Path
-        For settings, logs and data.
+        Folder for settings, logs and data.
     daemons, zones : int
-    is_severable : bool
-        Whether zones can be severed from one another.
+        Numbers of daemons and availability zones.
+    is_partitionable : bool
+        Whether zones can be partitioned from one another.
     """
 
-    def __init__(self, folder: Path, daemons: int = 2, zones: int = 1, is_severable: bool = False):
+    def __init__(self, folder: Path, daemons: int = 2, zones: int = 1, is_partitionable: bool = False):
         self.folder = folder
         self._zones = zones
-        self._claim, network = _claim_network()
+        self._reservation, network = _reserve_network()
         self.controls = [f"{network}.{number}" for number in (1, 2, 3)]
         self.daemons = [f"{network}.{11 + number}" for number in range(daemons)]
         self.processes: dict[str, subprocess.Popen] = {}
         self.applications: dict[str, Application] = {}
-        self._stopped = threading.Event()
-        self._links = Links(f"{network}.253") if is_severable else None
+        self._stop_event = threading.Event()
+        self._relay = RelayProcess(f"{network}.253") if is_partitionable else None
 
     def start(self) -> None:
         for ip in self.controls:
@@ -143,10 +157,10 @@
         for number, ip in enumerate(self.daemons):
             self.applications[ip] = self.make_application(ip, number)
             self.start_process(ip, self.make_settings("daemon", ip, True))
-        self.start_beats()
+        self.start_heartbeats()
 
     def start_ready(self, value: dict) -> None:
-        """Start all, have a first configuration accepted, and wait until the daemons are ready."""
+        """Start all processes, put a first configuration, and wait until the daemons are ready."""
         self.start()
         assert self.put(value) == 200
         self.wait_all_ready()
@@ -156,7 +170,7 @@
         return Application(ip, f"i-{number}")
 
     def add_upstreams(self, count: int, version: str, is_failing: bool = False) -> list[str]:
-        """Start daemons with backends of a version; returns their addresses."""
+        """Start more daemons with backends of a version; returns their addresses."""
         added = []
         network = self.daemons[0].rpartition(".")[0]
         for _ in range(count):
@@ -168,30 +182,30 @@
             added.append(ip)
         return added
 
-    def start_beats(self) -> None:
-        """Send the backends' heartbeats from now on."""
-        threading.Thread(target=self._beat, daemon=True).start()
+    def start_heartbeats(self) -> None:
+        """Start the thread that sends the heartbeats of all backends."""
+        threading.Thread(target=self._send_heartbeats, daemon=True).start()
 
-    def _beat(self) -> None:
-        while not self._stopped.wait(0.3):
+    def _send_heartbeats(self) -> None:
+        while not self._stop_event.wait(0.3):
             for application in list(self.applications.values()):
                 try:
-                    application.beat("draining" if application.upstream in self.draining else "ready")
+                    application.send_heartbeat("draining" if application.upstream in self.draining else "ready")
                 except OSError:
-                    pass  # its daemon is not up yet, or is down
+                    pass  # the daemon is not listening
 
     draining: frozenset = frozenset()
 
     def zone(self, ip: str) -> str:
-        """Return an instance's availability zone: the instances of a role are spread over them in turn."""
-        own = self.controls if ip in self.controls else self.daemons
-        return f"z{own.index(ip) % self._zones}"
+        """Return the availability zone of an instance; the instances of each role are assigned round-robin."""
+        instances = self.controls if ip in self.controls else self.daemons
+        return f"z{instances.index(ip) % self._zones}"
 
     def make_settings(self, role: str, ip: str, bootstrap: bool) -> str:
         text = (ROOT / "deploy" / f"{role}.jsonc").read_text(encoding="utf-8")
         seeds = ", ".join(f'"{seed}:{CONTROL_PORT}"' for seed in self.controls)
         text = text.replace('{{#seeds}}"{{.}}"{{,}}{{/seeds}}', seeds)
-        # Given by deployments that move services to new versions.
+        # Optional setting of deployments with canary releases, which these tests leave at its default.
         text = re.sub(r"\{\{#(bounds\.exposureShare)\}\}.*?\{\{/\1\}\}", "", text, flags=re.DOTALL)
         values = {
             "node": f"{role}-{ip}".replace(".", "-"),
@@ -200,8 +214,8 @@
             "portRange.0": MESH_PORT,
             "listen.control": f"{ip}:{CONTROL_PORT}",
             "listen.ready": f"{ip}:{READY_PORT}",
-            "listen.inbound": f"{ip}:{IN_PORT}",
-            "listen.outbound": f"{ip}:{OUT_PORT}",
+            "listen.inbound": f"{ip}:{INBOUND_PORT}",
+            "listen.outbound": f"{ip}:{OUTBOUND_PORT}",
             "appAddr": f"{ip}:{APP_PORT}",
             "service": "s1",
             "heartbeatS": 0.3,
@@ -223,12 +237,12 @@
     def start_process(self, ip: str, settings: str) -> None:
         path = self.folder / f"{ip}.jsonc"
         path.write_text(settings, encoding="utf-8")
-        # The packages that the tests import, not others that happen to be installed.
+        # Makes the process import the same packages as the tests.
         paths = os.pathsep.join([str(ROOT / "platform"), *filter(None, sys.path)])
         env = {**os.environ, "LANEDOCK_BOOT": str(path), "PYTHONPATH": paths}
-        if self._links is not None:
-            hooked = os.pathsep.join([str(HOOKS), paths])
-            env |= {"PYTHONPATH": hooked, RELAY_VARIABLE: self._links.address, SOURCE_VARIABLE: ip}
+        if self._relay is not None:
+            hooked_paths = os.pathsep.join([str(HOOKS), paths])
+            env |= {"PYTHONPATH": hooked_paths, RELAY_VARIABLE: self._relay.address, SOURCE_VARIABLE: ip}
         with open(self.folder / f"{ip}.log", "ab") as log:
             line = [sys.executable, str(ROOT / "platform" / "start.py")]
             self.processes[ip] = subprocess.Popen(line, env=env, stdout=log, stderr=log)
@@ -240,25 +254,28 @@
         self.start_process(ip, self.make_settings(role, ip, False))
 
     def stop(self) -> None:
-        self._stopped.set()
+        self._stop_event.set()
         for process in self.processes.values():
             process.kill()
             process.wait()
         for application in self.applications.values():
             application.stop()
-        if self._links is not None:
-            self._links.stop()
-        self._claim.close()
+        if self._relay is not None:
+            self._relay.stop()
+        self._reservation.close()
 
-    def sever(self, *zones: tuple[str, str]) -> None:
-        """Sever these pairs of zones from each other, and no others: without any, all cuts are over."""
-        self._links.sever([(self._instances(one), self._instances(other)) for one, other in zones])
+    def set_partitions(self, *zones: tuple[str, str]) -> None:
+        """Partition exactly these pairs of zones; without arguments, end all partitions."""
+        self._relay.set_partitions([(self._find_instances(one), self._find_instances(other)) for one, other in zones])
 
-    def _instances(self, zone: str) -> list[str]:
+    def _find_instances(self, zone: str) -> list[str]:
         return [ip for ip in (*self.controls, *self.daemons) if self.zone(ip) == zone]
 
     def put(self, value: dict) -> int:
-        """Send a configuration as the operator does: to any, along redirects, until it is answered."""
+        """Put a configuration at any control instance, following redirects; returns the status.
+
+        Retries until the status is neither 307 nor 503.
+        """
         until = time.monotonic() + TIMEOUT
         targets = list(self.controls)
         while time.monotonic() < until:
@@ -273,10 +290,13 @@
             if status not in (307, 503):
                 return status
             time.sleep(0.05)
-        raise TimeoutError("no control instance answers")
+        raise TimeoutError(f"no control instance accepted or rejected the configuration within {TIMEOUT:g} s")
 
     def put_at(self, controls: list[str], value: dict) -> int:
-        """Send a configuration to some control instances until one takes it; returns the status."""
+        """Put a configuration at the given control instances, without redirects; returns the status.
+
+        Retries until one status is neither 307 nor 503.
+        """
 
         def put() -> int:
             for ip in controls:
@@ -287,8 +307,11 @@
 
         return wait_for(put)
 
-    def operate(self, method: str, path: str, value: dict | None = None) -> tuple[int, dict]:
-        """Call a control instance as the operator does: any, along redirects, until it is answered."""
+    def call_operator_api(self, method: str, path: str, value: dict | None = None) -> tuple[int, dict]:
+        """Call any control instance, following redirects; returns the status and the decoded body.
+
+        Retries until the status is neither 307 nor 503.
+        """
         body = json.dumps(value).encode() if value is not None else b""
 
         def ask():
@@ -318,7 +341,7 @@
 
     def request(self, ip: str, request_id: str, headers: dict | None = None):
         all_headers = {"Host": "shop.example", "X-Request-Id": request_id, "X-Deadline-Ms": "3000", **(headers or {})}
-        return call(ip, OUT_PORT, "POST", "/a/b/x", b"3 ibises", all_headers)
+        return call(ip, OUTBOUND_PORT, "POST", "/a/b/x", b"3 ibises", all_headers)
 
     def wait_ready(self, ip: str) -> None:
         wait_for(lambda: call(ip, READY_PORT, "GET", "/ready")[0] == 200)
@@ -329,7 +352,15 @@
 
 
 def read_version(ip: str) -> tuple[int, int]:
-    """Read the configuration at a control instance; returns the status, 0 without an answer, and the version."""
+    """Read the configuration at a control instance.
+
+    Returns
+    -------
+    status : int
+        0 without a response.
+    version : int
+        0 unless the status is 200.
+    """
     try:
         status, _, body = call(ip, CONTROL_PORT, "GET", "/Config.Get")
     except OSError:
@@ -338,20 +369,26 @@
 
 
 def read_metric(ip: str, name: str) -> float:
-    """Read a process's metric; the sum over its labels, 0 before it has a value."""
+    """Return a metric of a process summed over its labels, or 0 before it has a value."""
     text = call(ip, METRICS_PORT, "GET", "/metrics")[2].decode()
     lines = [line.rsplit(" ", 1) for line in text.splitlines()]
     return sum(float(value) for labelled, value in lines if labelled.partition("{")[0] == name)
 
 
 def wait_for(condition):
-    """Wait until a condition holds; returns what it returned."""
+    """Poll a condition until it returns a true value, and return that value.
+
+    Raises
+    ------
+    TimeoutError
+        If the condition does not hold within `TIMEOUT`.
+    """
     until = time.monotonic() + TIMEOUT
     while time.monotonic() < until:
         try:
             if result := condition():
                 return result
         except OSError:
-            pass  # not listening yet
+            pass  # the process is not listening yet
         time.sleep(0.05)
-    raise TimeoutError("the condition never held")
+    raise TimeoutError(f"condition did not hold within {TIMEOUT:g} s")
--- a/tests/test_advertised_limits.py
+++ b/tests/test_advertised_limits.py
@@ -5,45 +5,45 @@
 import time
 
 import pytest
-from advertised_facts import BINDS_AFTER, DRAIN_LIMIT, WINDOW, find_excess, find_late_arrivals
-from crash_mesh import Background, CrashMesh, make_routes
+from advertised_facts import DRAIN_GRACE, ENFORCED_AFTER, WINDOW, find_arrivals_after_drain, find_rate_violations
+from crash_mesh import BackgroundLoad, CrashMesh, make_routes
 from platform_processes import wait_for
 
 # Seconds for which arrivals are counted once a limit binds.
-COUNTED = WINDOW + 1.0
+COUNTING_TIME = WINDOW + 1.0
 
 
 @pytest.fixture
 def mesh(tmp_path):
-    made = CrashMesh(tmp_path, 0.0)
+    crash_mesh = CrashMesh(tmp_path, 0.0)
     try:
-        made.start_ready(make_routes(4, 0))
-        yield made
+        crash_mesh.start_ready(make_routes(4, 0))
+        yield crash_mesh
     finally:
-        made.stop()
+        crash_mesh.stop()
 
 
-def _find_all(mesh: CrashMesh) -> list[str]:
+def _find_all_violations(mesh: CrashMesh) -> list[str]:
     now = time.monotonic()
-    return [finding for app in mesh.applications.values() for finding in find_excess(app, now)]
+    return [finding for app in mesh.applications.values() for finding in find_rate_violations(app, now)]
 
 
 @pytest.mark.parametrize("rates", [(4.0,), (0.4,), (0.0,), (3.0, 2.0)])
 def test_limited_upstreams_get_no_more_and_nobody_pays_for_it(mesh, rates):
-    callers = Background(mesh, "/c/limited-{caller}-{number}")
+    load = BackgroundLoad(mesh, "/c/limited-{caller}-{number}")
     for app, rate in zip(mesh.applications.values(), rates, strict=False):
         app.limit(rate)
-    time.sleep(BINDS_AFTER + COUNTED)
-    callers.stop()
-    assert _find_all(mesh) == []
-    assert callers.served(0.0) == 1.0
+    time.sleep(ENFORCED_AFTER + COUNTING_TIME)
+    load.stop()
+    assert _find_all_violations(mesh) == []
+    assert load.served_fraction(0.0) == 1.0
 
 
 def test_a_limit_holds_while_daemons_are_killed_and_suspended(mesh):
-    callers = Background(mesh, "/c/killed-{caller}-{number}")
+    load = BackgroundLoad(mesh, "/c/killed-{caller}-{number}")
     limited = mesh.daemons[0]
     mesh.applications[limited].limit(2.0)
-    until = time.monotonic() + BINDS_AFTER + 2 * COUNTED
+    until = time.monotonic() + ENFORCED_AFTER + 2 * COUNTING_TIME
     while time.monotonic() < until:
         mesh.restart(limited)
         mesh.wait_ready(limited)
@@ -52,29 +52,29 @@
         time.sleep(0.5)
         other.send_signal(signal.SIGCONT)
         time.sleep(1.0)
-    callers.stop()
-    assert _find_all(mesh) == []
+    load.stop()
+    assert _find_all_violations(mesh) == []
 
 
 def test_a_limit_that_is_withdrawn_ends(mesh):
-    callers = Background(mesh, "/c/withdrawn-{caller}-{number}")
+    load = BackgroundLoad(mesh, "/c/withdrawn-{caller}-{number}")
     app = next(iter(mesh.applications.values()))
     app.limit(0.0)
     time.sleep(4.0)
     app.limit(None)
     since = time.monotonic()
     wait_for(lambda: any(at >= since for at, _, _ in app.arrivals))
-    callers.stop()
+    load.stop()
 
 
 def test_an_upstream_that_states_it_leaves_gets_nothing_more_though_its_heartbeats_are_ready(mesh):
-    callers = Background(mesh, "/c/leaving-{caller}-{number}")
+    load = BackgroundLoad(mesh, "/c/leaving-{caller}-{number}")
     time.sleep(1.0)
     # Of two idle upstreams in a zone the quicker one gets all requests.
-    app = max(mesh.applications.values(), key=lambda known: len(known.arrivals))
-    start = app.upstream
-    app.replace(DRAIN_LIMIT + 2.5, by_answers=True)
-    callers.stop()
-    assert start in app.left_at
-    assert find_late_arrivals(app) == []
-    assert callers.served(0.0) == 1.0
+    app = max(mesh.applications.values(), key=lambda candidate: len(candidate.arrivals))
+    incarnation = app.upstream
+    app.replace(DRAIN_GRACE + 2.5, by_responses=True)
+    load.stop()
+    assert incarnation in app.drain_advertised_at
+    assert find_arrivals_after_drain(app) == []
+    assert load.served_fraction(0.0) == 1.0
--- a/tests/test_canary_command.py
+++ b/tests/test_canary_command.py
@@ -17,12 +17,12 @@
 
 @pytest.fixture
 def mesh(tmp_path):
-    with LocalMesh(tmp_path / "mesh", ["nbo-a", "nbo-b", "nbo-c"], {"checklists": 6}, work=0.005) as made:
+    with LocalMesh(tmp_path / "mesh", ["nbo-a", "nbo-b", "nbo-c"], {"checklists": 6}, work=0.005) as local_mesh:
         for name in FORMER:
-            made.set_version(name, "v1")
+            local_mesh.set_version(name, "v1")
         for name in NEW:
-            made.set_version(name, "v2")
-        yield made
+            local_mesh.set_version(name, "v2")
+        yield local_mesh
 
 
 class Callers:
@@ -30,7 +30,7 @@
 
     def __init__(self, mesh: LocalMesh):
         self._mesh = mesh
-        self._stopped = threading.Event()
+        self._stop_event = threading.Event()
         self._threads = [threading.Thread(target=self._run, args=(number,)) for number in range(6)]
 
     def __enter__(self) -> "Callers":
@@ -39,17 +39,17 @@
         return self
 
     def __exit__(self, *exc) -> None:
-        self._stopped.set()
+        self._stop_event.set()
         for thread in self._threads:
             thread.join()
 
     def _run(self, number: int) -> None:
         paths = itertools.cycle(PATHS)
-        while not self._stopped.wait(0.005):
+        while not self._stop_event.wait(0.005):
             self._mesh.request("GET", next(paths), entry=number)
 
 
-def _begin(mesh: LocalMesh, tmp_path) -> Operator:
+def _start_mesh(mesh: LocalMesh, tmp_path) -> Operator:
     mesh.start()
     operator = Operator(mesh, tmp_path)
     assert operator.apply(1)[0] == 0
@@ -57,30 +57,32 @@
     return operator
 
 
-def _start(operator: Operator, version: str = "v2", duration: int = DURATION, *options: str) -> tuple[int, object]:
+def _start_canary(
+    operator: Operator, version: str = "v2", duration: int = DURATION, *options: str
+) -> tuple[int, object]:
     return operator.run("canary", "start", "checklists", version, "--duration", str(duration), *options)
 
 
 def test_a_good_version_is_followed_to_its_completion(mesh, tmp_path):
-    operator = _begin(mesh, tmp_path)
+    operator = _start_mesh(mesh, tmp_path)
     with Callers(mesh):
-        code, listed = _start(operator, "v2", DURATION, "--follow")
+        code, listed = _start_canary(operator, "v2", DURATION, "--follow")
     assert code == 0, listed
     assert (listed[0]["phase"], listed[0]["version"], listed[0]["share"]) == ("completed", "v2", 1)
     served = {mesh.request("GET", PATHS[0], entry=number)[1] for number in range(30)}
     assert all(any(name.encode() in body for name in NEW) for body in served)
     assert operator.run("canary", "status", "checklists")[1][0]["phase"] == "completed"
     # The stable version now.
-    assert _start(operator, "v2", 60)[0] == 3
+    assert _start_canary(operator, "v2", 60)[0] == 3
 
 
 @pytest.mark.parametrize("bad", [{"share": 0.6}, {"share": 0.9, "path": PATHS[1]}, {"share": 0.9, "factor": 30.0}])
 def test_a_bad_version_is_rolled_back_with_its_reason(mesh, tmp_path, bad):
     for name in NEW:
         mesh.set_version(name, "v2", **bad)
-    operator = _begin(mesh, tmp_path)
+    operator = _start_mesh(mesh, tmp_path)
     with Callers(mesh):
-        code, listed = _start(operator, "v2", 20, "--follow")
+        code, listed = _start_canary(operator, "v2", 20, "--follow")
     assert code == 6, listed
     assert listed[0]["phase"] == "rolled back"
     assert "answers of checklist-lookup" in listed[0]["reason"]
@@ -89,17 +91,17 @@
 
 
 def test_orders_by_hand(mesh, tmp_path):
-    operator = _begin(mesh, tmp_path)
+    operator = _start_mesh(mesh, tmp_path)
     assert operator.run("canary", "abort", "checklists")[0] == 3
-    assert _start(operator, "v2", 600)[0] == 0
-    assert _start(operator, "v3", 600)[0] == 3
+    assert _start_canary(operator, "v2", 600)[0] == 0
+    assert _start_canary(operator, "v3", 600)[0] == 3
     code, listed = operator.run("canary", "abort", "checklists")
     assert (code, listed[0]["phase"]) == (0, "rolled back")
     assert "aborted by" in listed[0]["reason"]
     assert operator.run("canary", "promote", "checklists")[0] == 3
     assert [item["phase"] for item in operator.run("canary", "history")[1]] == ["rolled back"]
     # Another duration: the same order would be taken for the last one, sent again.
-    assert _start(operator, "v2", 601)[0] == 0
+    assert _start_canary(operator, "v2", 601)[0] == 0
     code, listed = operator.run("canary", "promote", "checklists")
     assert (code, listed[0]["share"]) == (0, 1)
     # It is completed seconds later, which may be before the next order.
--- a/tests/test_canary_platform.py
+++ b/tests/test_canary_platform.py
@@ -5,7 +5,7 @@
 from collections import Counter
 
 import pytest
-from platform_processes import CONTROL_PORT, OUT_PORT, PlatformProcesses, call, wait_for
+from platform_processes import CONTROL_PORT, OUTBOUND_PORT, PlatformProcesses, call, wait_for
 
 from lanedock_platform.tests.test_translation import make_configuration
 
@@ -20,7 +20,7 @@
     def __init__(self, platform: PlatformProcesses):
         self.answers: Counter = Counter()
         self._platform = platform
-        self._stopped = threading.Event()
+        self._stop_event = threading.Event()
         self._threads = [threading.Thread(target=self._run, args=(number,)) for number in range(CALLERS)]
 
     def __enter__(self) -> "Callers":
@@ -29,45 +29,45 @@
         return self
 
     def __exit__(self, *exc) -> None:
-        self._stopped.set()
+        self._stop_event.set()
         for thread in self._threads:
             thread.join()
 
     def _run(self, number: int) -> None:
         count = 0
         ip = self._platform.daemons[1]
-        while not self._stopped.wait(0.01):
+        while not self._stop_event.wait(0.01):
             count += 1
             headers = {"Host": "shop.example", "X-Request-Id": f"c{number}-{count}", "X-Deadline-Ms": "3000"}
-            status, _, body = call(ip, OUT_PORT, "POST", "/a/b/x", b"", headers)
+            status, _, body = call(ip, OUTBOUND_PORT, "POST", "/a/b/x", b"", headers)
             self.answers[status, body] += 1
 
 
 @pytest.fixture
 def platform(tmp_path):
-    made = PlatformProcesses(tmp_path)
+    processes = PlatformProcesses(tmp_path)
     try:
-        made.start_ready(make_configuration(4, 0))
-        yield made
+        processes.start_ready(make_configuration(4, 0))
+        yield processes
     finally:
-        made.stop()
+        processes.stop()
 
 
-def _await_end(platform: PlatformProcesses) -> str:
+def _wait_for_end(platform: PlatformProcesses) -> str:
     """Wait until the canary has ended; returns its state."""
-    wait_for(lambda: _state(platform) != "running")
-    return _state(platform)
+    wait_for(lambda: _read_state(platform) != "running")
+    return _read_state(platform)
 
 
-def _state(platform: PlatformProcesses) -> str:
-    status, answer = platform.operate("GET", GET)
+def _read_state(platform: PlatformProcesses) -> str:
+    status, answer = platform.call_operator_api("GET", GET)
     assert status == 200, answer
     assert answer["targetVersion"] == "v2"
     return answer["state"]
 
 
-def _seen(platform: PlatformProcesses, ips: list[str]) -> int:
-    return sum(len(platform.applications[ip].seen) for ip in ips)
+def _count_received(platform: PlatformProcesses, ips: list[str]) -> int:
+    return sum(len(platform.applications[ip].received_headers) for ip in ips)
 
 
 def _find_leader(platform: PlatformProcesses) -> str:
@@ -86,43 +86,43 @@
 
 
 def test_a_good_version_gets_everything_and_stays(platform):
-    former = list(platform.daemons)
+    stable = list(platform.daemons)
     with Callers(platform) as callers:
-        assert platform.operate("POST", START, ORDER)[0] == 200
+        assert platform.call_operator_api("POST", START, ORDER)[0] == 200
         added = platform.add_upstreams(2, "v2")
         # Sent again, to whichever instance: acknowledged again.
-        assert platform.operate("POST", START, ORDER)[0] == 200
-        assert platform.operate("POST", START, {**ORDER, "targetVersion": "v3"})[0] == 409
-        assert _await_end(platform) == "completed"
-        before = _seen(platform, former)
-        assert _seen(platform, added) > 0
+        assert platform.call_operator_api("POST", START, ORDER)[0] == 200
+        assert platform.call_operator_api("POST", START, {**ORDER, "targetVersion": "v3"})[0] == 409
+        assert _wait_for_end(platform) == "completed"
+        before = _count_received(platform, stable)
+        assert _count_received(platform, added) > 0
         _kill_controls(platform)
-        assert _state(platform) == "completed"
+        assert _read_state(platform) == "completed"
         # A daemon that knows nothing learns it before it serves.
-        platform.restart(former[0])
-        platform.wait_ready(former[0])
-        count = _seen(platform, added)
-        wait_for(lambda: _seen(platform, added) > count + 20)
-    assert _seen(platform, former) == before
-    assert platform.operate("POST", START, ORDER)[0] == 200
+        platform.restart(stable[0])
+        platform.wait_ready(stable[0])
+        count = _count_received(platform, added)
+        wait_for(lambda: _count_received(platform, added) > count + 20)
+    assert _count_received(platform, stable) == before
+    assert platform.call_operator_api("POST", START, ORDER)[0] == 200
     assert set(callers.answers) == {(200, b"")}
 
 
 def test_a_bad_version_is_rolled_back_also_when_the_leader_is_killed(platform):
-    former = list(platform.daemons)
+    stable = list(platform.daemons)
     with Callers(platform):
-        assert platform.operate("POST", START, ORDER)[0] == 200
+        assert platform.call_operator_api("POST", START, ORDER)[0] == 200
         leader = _find_leader(platform)
         added = platform.add_upstreams(2, "v2", is_failing=True)
         platform.restart(leader)
-        assert _await_end(platform) == "rolled_back"
+        assert _wait_for_end(platform) == "rolled_back"
         # Requests that were on their way have arrived once both daemons follow the rule.
-        before = _seen(platform, added)
-        count = _seen(platform, former)
-        wait_for(lambda: _seen(platform, former) > count + 100)
-    assert _seen(platform, added) <= before + CALLERS
+        before = _count_received(platform, added)
+        count = _count_received(platform, stable)
+        wait_for(lambda: _count_received(platform, stable) > count + 100)
+    assert _count_received(platform, added) <= before + CALLERS
     _kill_controls(platform)
-    assert _state(platform) == "rolled_back"
+    assert _read_state(platform) == "rolled_back"
 
 
 @pytest.mark.parametrize(
@@ -139,7 +139,7 @@
     ],
 )
 def test_an_order_that_can_not_be_carried_out_is_refused_with_its_place(platform, order, place):
-    status, answer = platform.operate("POST", START, {**ORDER, **order})
+    status, answer = platform.call_operator_api("POST", START, {**ORDER, **order})
     assert status == 400
     assert place in answer["error"]
-    assert platform.operate("GET", GET)[0] == 404
+    assert platform.call_operator_api("GET", GET)[0] == 404
--- a/tests/test_demo.py
+++ b/tests/test_demo.py
@@ -13,8 +13,8 @@
 @pytest.mark.parametrize("name", ["kijani", "bayanihan"])
 def test_the_demo_runs_to_its_end(name):
     line = [sys.executable, "tools/demo.py", f"examples/{name}.jsonc"]
-    done = subprocess.run(line, cwd=ROOT, capture_output=True, text=True, check=False, timeout=120)
-    assert done.returncode == 0, done.stdout + done.stderr
-    assert "version 1: applied" in done.stdout
-    assert done.stdout.count("10 of 10 answered 200") == 3
-    assert "is in force on 16 proxies; behind: none" in done.stdout
+    completed = subprocess.run(line, cwd=ROOT, capture_output=True, text=True, check=False, timeout=120)
+    assert completed.returncode == 0, completed.stdout + completed.stderr
+    assert "version 1: applied" in completed.stdout
+    assert completed.stdout.count("10 of 10 answered 200") == 3
+    assert "is in force on 16 proxies; behind: none" in completed.stdout
--- a/tests/test_documents.py
+++ b/tests/test_documents.py
@@ -16,7 +16,7 @@
 
 # What each subpackage of the library may import of it. docs/architecture.md
 # draws the same.
-ALLOWED = {
+ALLOWED_IMPORTS = {
     "averages": set(),
     "canary": {"errors", "membership", "wire"},
     "clock": set(),
@@ -39,7 +39,7 @@
 COMMAND_LINE_ONLY = {"typer", "rich", "lanedock_cli"}
 
 
-def _imports(path: Path) -> set[str]:
+def _find_imported_names(path: Path) -> set[str]:
     names = set()
     for node in ast.walk(ast.parse(path.read_text(encoding="utf-8"))):
         if isinstance(node, ast.Import):
@@ -49,27 +49,27 @@
     return names
 
 
-def _topic(path: Path) -> str:
+def _find_subpackage(path: Path) -> str:
     return path.relative_to(LIBRARY).parts[0].removesuffix(".py")
 
 
 def test_pages_made_from_the_code_are_current():
-    done = subprocess.run(
+    completed = subprocess.run(
         [sys.executable, "tools/make_docs.py", "--check"], cwd=ROOT, capture_output=True, text=True, check=False
     )
-    assert done.returncode == 0, done.stdout + done.stderr
+    assert completed.returncode == 0, completed.stdout + completed.stderr
 
 
-@pytest.mark.parametrize("topic", sorted(ALLOWED))
+@pytest.mark.parametrize("topic", sorted(ALLOWED_IMPORTS))
 def test_subpackages_import_only_what_they_may(topic):
-    paths = [path for path in LIBRARY.rglob("*.py") if _topic(path) == topic and "tests" not in path.parts]
+    paths = [path for path in LIBRARY.rglob("*.py") if _find_subpackage(path) == topic and "tests" not in path.parts]
     assert paths
     for path in paths:
-        for name in _imports(path):
+        for name in _find_imported_names(path):
             package, _, rest = name.partition(".")
             assert package != "lanedock_daemon" and package not in COMMAND_LINE_ONLY, path
             if package == "lanedock" and rest:
-                assert rest.split(".")[0] in ALLOWED[topic] | {topic}, path
+                assert rest.split(".")[0] in ALLOWED_IMPORTS[topic] | {topic}, path
 
 
 def test_every_code_event_and_metric_is_used():
@@ -80,10 +80,10 @@
 
 
 def test_every_subpackage_has_its_rule():
-    topics = {_topic(path) for path in LIBRARY.rglob("*.py")} - {"__init__"}
-    assert topics == set(ALLOWED)
+    subpackages = {_find_subpackage(path) for path in LIBRARY.rglob("*.py")} - {"__init__"}
+    assert subpackages == set(ALLOWED_IMPORTS)
 
 
 def test_the_daemon_does_not_import_what_only_the_command_line_needs():
     for path in (ROOT / "packages" / "lanedock-daemon").rglob("*.py"):
-        assert not {name.partition(".")[0] for name in _imports(path)} & COMMAND_LINE_ONLY, path
+        assert not {name.partition(".")[0] for name in _find_imported_names(path)} & COMMAND_LINE_ONLY, path
--- a/tests/test_explain.py
+++ b/tests/test_explain.py
@@ -14,11 +14,11 @@
 
 
 @pytest.fixture
-def slow(tmp_path):
+def slow_operator(tmp_path):
     """Make a mesh whose upstreams work for a while, and its operator."""
-    with LocalMesh(tmp_path / "mesh", ["nbo-a"], SERVICES, work=0.5) as made:
-        made.start()
-        yield Operator(made, tmp_path)
+    with LocalMesh(tmp_path / "mesh", ["nbo-a"], SERVICES, work=0.5) as local_mesh:
+        local_mesh.start()
+        yield Operator(local_mesh, tmp_path)
 
 
 def _explain(mesh: LocalMesh, request: str, expected: str) -> str:
@@ -27,13 +27,13 @@
     line = [sys.executable, "-m", "lanedock_cli.app", "explain", request, *logs]
     texts = []
 
-    def is_there() -> bool:
-        done = subprocess.run(line, capture_output=True, text=True, check=False, timeout=60)
-        assert "Traceback" not in done.stderr, done.stderr
-        texts.append(done.stdout)
-        return expected in done.stdout
+    def has_expected_text() -> bool:
+        completed = subprocess.run(line, capture_output=True, text=True, check=False, timeout=60)
+        assert "Traceback" not in completed.stderr, completed.stderr
+        texts.append(completed.stdout)
+        return expected in completed.stdout
 
-    mesh.wait_for(is_there, f"{expected} for {request}")
+    mesh.wait_for(has_expected_text, f"{expected} for {request}")
     print(texts[-1])
     return texts[-1]
 
@@ -42,17 +42,17 @@
     return mesh.request(method, path, b"x" if method == "POST" else b"", headers={"x-request-id": request})[0]
 
 
-def test_refused_under_overload(slow):
-    def narrow(value: dict) -> None:
+def test_refused_under_overload(slow_operator):
+    def reduce_capacity(value: dict) -> None:
         for service in value["services"]:
             service["slots"], service["queue"] = 1, 0
 
-    assert slow.apply(1, narrow)[0] == 0
+    assert slow_operator.apply(1, reduce_capacity)[0] == 0
     with ThreadPoolExecutor(8) as pool:
         sent = [f"busy-{number}" for number in range(8)]
-        codes = list(pool.map(lambda name: _send(slow.mesh, "POST", "/sightings", name), sent))
+        codes = list(pool.map(lambda name: _send(slow_operator.mesh, "POST", "/sightings", name), sent))
     refused = sent[codes.index(503)]
-    text = _explain(slow.mesh, refused, "REQUEST_REFUSED")
+    text = _explain(slow_operator.mesh, refused, "REQUEST_REFUSED")
     assert "LD3005" in text and "in_use=1 slots=1 waiting=0 queue=0" in text
     assert "outcome=not-run status=503" in text
     # In the order in which it happened, over both processes.
@@ -60,19 +60,19 @@
     assert order == sorted(order)
 
 
-def test_outcome_unknown_after_an_upstream_failed(slow):
-    assert slow.apply(1)[0] == 0
+def test_outcome_unknown_after_an_upstream_failed(slow_operator):
+    assert slow_operator.apply(1)[0] == 0
     with ThreadPoolExecutor(1) as pool:
-        job = pool.submit(_send, slow.mesh, "POST", "/sightings", "lost-1")
-        _explain_admitted(slow.mesh)
-        slow.mesh._stand_ins.kill()
+        job = pool.submit(_send, slow_operator.mesh, "POST", "/sightings", "lost-1")
+        _wait_until_admitted(slow_operator.mesh)
+        slow_operator.mesh._stand_ins.kill()
         assert job.result() in (502, 504)
-    text = _explain(slow.mesh, "lost-1", "REQUEST_DONE")
+    text = _explain(slow_operator.mesh, "lost-1", "REQUEST_DONE")
     assert "LD3008" in text and "outcome=unknown" in text
     assert "sightings-0" in text
 
 
-def _explain_admitted(mesh: LocalMesh) -> None:
+def _wait_until_admitted(mesh: LocalMesh) -> None:
     """Wait until the application is at work: its daemon has a connection to it."""
     _, port = mesh.applications["sightings-0"]
     port_hex = f"{port:04X}"
@@ -85,21 +85,21 @@
     mesh.wait_for(is_connected, "a connection to the application")
 
 
-def test_not_found_around_a_change(slow):
-    assert slow.apply(1)[0] == 0
+def test_not_found_around_a_change(slow_operator):
+    assert slow_operator.apply(1)[0] == 0
 
-    def drop(value: dict) -> None:
+    def remove_media_routes(value: dict) -> None:
         value["routes"] = [route for route in value["routes"] if not route["path"].startswith("/media")]
 
-    assert slow.apply(2, drop)[0] == 0
-    assert _send(slow.mesh, "GET", "/media/1", "gone-1") == 404
-    text = _explain(slow.mesh, "gone-1", "REQUEST_ROUTED")
+    assert slow_operator.apply(2, remove_media_routes)[0] == 0
+    assert _send(slow_operator.mesh, "GET", "/media/1", "gone-1") == 404
+    text = _explain(slow_operator.mesh, "gone-1", "REQUEST_ROUTED")
     assert "reason=no route version=2" in text and "LD3001" in text
     # The change stands beside it.
     assert "IN_FORCE  version=2" in text
 
 
-def test_a_request_that_nobody_knows_is_said_to_be(slow):
-    line = [sys.executable, "-m", "lanedock_cli.app", "explain", "never", str(slow.mesh.processes[0].log_path)]
-    done = subprocess.run(line, capture_output=True, text=True, check=False, timeout=60)
-    assert done.returncode == 1 and "no line names never" in done.stdout
+def test_a_request_that_nobody_knows_is_said_to_be(slow_operator):
+    line = [sys.executable, "-m", "lanedock_cli.app", "explain", "never", str(slow_operator.mesh.processes[0].log_path)]
+    completed = subprocess.run(line, capture_output=True, text=True, check=False, timeout=60)
+    assert completed.returncode == 1 and "no line names never" in completed.stdout
--- a/tests/test_known_red.py
+++ b/tests/test_known_red.py
@@ -11,7 +11,7 @@
 ROOT = Path(__file__).parent.parent
 
 
-def _listed() -> list[list[str]]:
+def _read_entries() -> list[list[str]]:
     path = ROOT / "KNOWN-RED.txt"
     text = path.read_text(encoding="utf-8") if path.exists() else ""
     lines = [line for line in text.splitlines() if line.strip() and not line.startswith("#")]
@@ -19,7 +19,7 @@
 
 
 def test_each_entry_names_a_test_that_is_there_with_command_finding_and_issue():
-    for test, command, seen, issue in _listed():
+    for test, command, seen, issue in _read_entries():
         file, _, name = test.partition("::")
         assert f"def {name}(" in (ROOT / file).read_text(encoding="utf-8")
         assert command
@@ -49,6 +49,6 @@
             "packages/test_it.py::test_one | a command | because | issue 1\n", encoding="utf-8"
         )
     line = [sys.executable, "-m", "pytest", "-p", "no:cacheprovider", "packages"]
-    done = subprocess.run(line, cwd=tmp_path, capture_output=True, text=True, check=False, timeout=60)
-    assert done.returncode == code, done.stdout
-    assert shown in done.stdout
+    completed = subprocess.run(line, cwd=tmp_path, capture_output=True, text=True, check=False, timeout=60)
+    assert completed.returncode == code, completed.stdout
+    assert shown in completed.stdout
--- a/tests/test_load.py
+++ b/tests/test_load.py
@@ -12,20 +12,20 @@
 THREADS = 8
 
 
-class Volunteers:
+class Submitters:
     """Threads that submit sightings, each with an id, and note what they received."""
 
     def __init__(self, mesh):
         self.mesh = mesh
         self.outcomes: dict[str, str] = {}
-        self.stopping = threading.Event()
+        self.stop_event = threading.Event()
         self.threads = [threading.Thread(target=self._run, args=(number,)) for number in range(THREADS)]
         for thread in self.threads:
             thread.start()
 
     def _run(self, number: int) -> None:
         count = 0
-        while not self.stopping.is_set():
+        while not self.stop_event.is_set():
             count += 1
             request_id = f"{number}-{count}"
             self.outcomes[request_id] = self._submit(request_id, number)
@@ -46,82 +46,84 @@
 
     def stop(self) -> Counter:
         """Stop, and return how often each outcome was received."""
-        self.stopping.set()
+        self.stop_event.set()
         for thread in self.threads:
             thread.join()
         return Counter(self.outcomes.values())
 
 
-def _count_runs(mesh) -> Counter:
-    runs: Counter = Counter()
+def _count_executions(mesh) -> Counter:
+    executions: Counter = Counter()
     for name, (host, port) in mesh.applications.items():
         if name.startswith("sightings"):
             conn = http.client.HTTPConnection(host, port, timeout=10)
             conn.request("GET", "/.runs")
-            runs.update(json.loads(conn.getresponse().read()))
+            executions.update(json.loads(conn.getresponse().read()))
             conn.close()
-    return runs
+    return executions
 
 
-def _check(volunteers: Volunteers) -> Counter:
+def _check_outcomes(submitters: Submitters) -> Counter:
     """Stop, and check each submission's runs against the outcome that its volunteer received."""
-    outcomes = volunteers.stop()
-    runs = _count_runs(volunteers.mesh)
+    outcomes = submitters.stop()
+    executions = _count_executions(submitters.mesh)
     assert set(outcomes) <= {"answered", "not-run", "unknown", "cut"}
-    for request_id, outcome in volunteers.outcomes.items():
+    for request_id, outcome in submitters.outcomes.items():
         expected = {"answered": {1}, "not-run": {0}}.get(outcome, {0, 1})
-        assert runs[request_id] in expected, (request_id, outcome, runs[request_id])
+        assert executions[request_id] in expected, (request_id, outcome, executions[request_id])
     return outcomes
 
 
 @pytest.fixture
-def volunteers(mesh, operator):
+def submitters(mesh, operator):
     assert operator.apply(1)[0] == 0
-    made = Volunteers(mesh)
-    made.wait_for_more(50)
-    yield made
-    made.stop()
+    started = Submitters(mesh)
+    started.wait_for_more(50)
+    yield started
+    started.stop()
 
 
-def test_planned_stops_cut_off_nothing(volunteers):
-    mesh = volunteers.mesh
+def test_planned_stops_cut_off_nothing(submitters):
+    mesh = submitters.mesh
     for process in [mesh.upstreams["sightings-0"], mesh.upstreams["sightings-1"]]:
         process.popen.terminate()
         assert process.popen.wait(30) == 0
-        volunteers.wait_for_more(30)
+        submitters.wait_for_more(30)
         process.start()
         mesh.wait_listening(process)
         # Back at work before the other one goes.
-        before = _runs_of(mesh, process.name)
-        mesh.wait_for(lambda name=process.name, count=before: _runs_of(mesh, name) > count, "it serves again")
-    outcomes = _check(volunteers)
+        before = _count_total_executions(mesh, process.name)
+        mesh.wait_for(
+            lambda name=process.name, count=before: _count_total_executions(mesh, name) > count, "it serves again"
+        )
+    outcomes = _check_outcomes(submitters)
     assert not outcomes["cut"] and not outcomes["unknown"], outcomes
 
 
-def test_killed_daemons_double_nothing(volunteers):
-    mesh = volunteers.mesh
+def test_killed_daemons_double_nothing(submitters):
+    mesh = submitters.mesh
     for _ in range(3):
         process = mesh.upstreams["sightings-0"]
         process.kill()
-        volunteers.wait_for_more(30)
+        submitters.wait_for_more(30)
         process.start()
         mesh.wait_listening(process)
-    outcomes = _check(volunteers)
+    outcomes = _check_outcomes(submitters)
     # One in progress on each connection may be lost with each kill.
     assert outcomes["unknown"] + outcomes["cut"] <= 3 * THREADS
 
 
-def test_a_leaving_upstream_gets_no_new_work(volunteers):
-    mesh = volunteers.mesh
+def test_a_leaving_upstream_gets_no_new_work(submitters):
+    mesh = submitters.mesh
     mesh.set_state("sightings-0", "leaving")
     time.sleep(2)
-    before = _runs_of(mesh, "sightings-0")
-    volunteers.wait_for_more(50)
-    assert _runs_of(mesh, "sightings-0") == before
-    assert not _check(volunteers)["unknown"]
+    before = _count_total_executions(mesh, "sightings-0")
+    submitters.wait_for_more(50)
+    assert _count_total_executions(mesh, "sightings-0") == before
+    assert not _check_outcomes(submitters)["unknown"]
 
 
-def _runs_of(mesh, name: str) -> int:
+def _count_total_executions(mesh, name: str) -> int:
     host, port = mesh.applications[name]
     conn = http.client.HTTPConnection(host, port, timeout=10)
     conn.request("GET", "/.runs")
@@ -130,13 +132,13 @@
     return total
 
 
-def test_versions_change_under_load_and_a_zone_goes_on_without_control(volunteers, operator):
+def test_versions_change_under_load_and_a_zone_goes_on_without_control(submitters, operator):
     for version in range(2, 6):
         change = (lambda value: value["routes"].pop(0)) if version % 2 else None
         assert operator.apply(version, change)[0] == 0
-        volunteers.wait_for_more(20)
-    for process in volunteers.mesh.controls.values():
+        submitters.wait_for_more(20)
+    for process in submitters.mesh.controls.values():
         process.kill()
-    volunteers.wait_for_more(100)
-    outcomes = _check(volunteers)
+    submitters.wait_for_more(100)
+    outcomes = _check_outcomes(submitters)
     assert set(outcomes) == {"answered"}, outcomes
--- a/tests/test_memory.py
+++ b/tests/test_memory.py
@@ -17,13 +17,13 @@
 
 @pytest.fixture(scope="module")
 def platform(tmp_path_factory):
-    made = PlatformProcesses(tmp_path_factory.mktemp("platform"))
+    processes = PlatformProcesses(tmp_path_factory.mktemp("platform"))
     try:
-        made.start_ready(make_configuration(4, 0))
-        assert made.request(made.daemons[0], "id-1")[0] == 200
-        yield made
+        processes.start_ready(make_configuration(4, 0))
+        assert processes.request(processes.daemons[0], "id-1")[0] == 200
+        yield processes
     finally:
-        made.stop()
+        processes.stop()
 
 
 def _read(platform: PlatformProcesses, ip: str, name: str) -> str:
--- a/tests/test_operators.py
+++ b/tests/test_operators.py
@@ -30,9 +30,9 @@
 
 def _run(*arguments: str) -> subprocess.CompletedProcess:
     line = [sys.executable, "-m", "lanedock_cli.app", *arguments]
-    done = subprocess.run(line, capture_output=True, text=True, check=False, timeout=60)
-    assert "Traceback" not in done.stderr, done.stderr
-    return done
+    completed = subprocess.run(line, capture_output=True, text=True, check=False, timeout=60)
+    assert "Traceback" not in completed.stderr, completed.stderr
+    return completed
 
 
 @pytest.mark.parametrize(
@@ -58,15 +58,15 @@
     with pytest.raises(FindingsError) as caught:
         load_settings(str(file))
     assert place in [finding.place.path for finding in caught.value.findings]
-    done = subprocess.run(
+    completed = subprocess.run(
         [sys.executable, "-m", "lanedock_daemon.app", "--settings", str(file)],
         capture_output=True,
         text=True,
         check=False,
         timeout=30,
     )
-    assert done.returncode == 2
-    assert f"{file}:" in done.stderr
+    assert completed.returncode == 2
+    assert f"{file}:" in completed.stderr
 
 
 def test_doctor_tells_all_that_is_wrong(tmp_path):
@@ -79,33 +79,33 @@
         value["control"].update(data_folder="/proc/none", platform_list=str(tmp_path / "none"))
         file = tmp_path / "s.jsonc"
         file.write_text(json.dumps(value), encoding="utf-8")
-        done = _run("doctor", "--settings", str(file), "--json")
-    assert done.returncode == 2
-    bad = {item["what"] for item in json.loads(done.stdout) if not item["good"]}
+        completed = _run("doctor", "--settings", str(file), "--json")
+    assert completed.returncode == 2
+    bad = {item["what"] for item in json.loads(completed.stdout) if not item["good"]}
     assert bad == {"control.listen", "replica c2", "data folder", "platform list"}
 
 
 @pytest.mark.parametrize("command", ["status", "history"])
 def test_a_command_without_any_control_names_the_next_step(command):
-    done = _run(command, "--control", "127.0.0.1:1")
-    assert done.returncode == 4
-    assert "LD2008" in done.stderr
-    assert "next:" in done.stderr
+    completed = _run(command, "--control", "127.0.0.1:1")
+    assert completed.returncode == 4
+    assert "LD2008" in completed.stderr
+    assert "next:" in completed.stderr
 
 
 def test_missing_tls_files_are_a_coded_error(tmp_path):
-    done = _run("status", "--control", "127.0.0.1:1", "--tls", str(tmp_path))
-    assert done.returncode == 1
-    assert "LD5004" in done.stderr
+    completed = _run("status", "--control", "127.0.0.1:1", "--tls", str(tmp_path))
+    assert completed.returncode == 1
+    assert "LD5004" in completed.stderr
 
 
 @pytest.mark.parametrize("name", ["embed_log", "embed_rollout", "embed_limits"])
 def test_embedding_programs_run(name):
-    done = subprocess.run(
+    completed = subprocess.run(
         [sys.executable, str(ROOT / "examples" / f"{name}.py")], capture_output=True, text=True, check=False, timeout=60
     )
-    assert done.returncode == 0, done.stderr
-    assert done.stdout
+    assert completed.returncode == 0, completed.stderr
+    assert completed.stdout
 
 
 def _make_certificates(folder: Path) -> dict:
@@ -183,8 +183,8 @@
     )
     control = ("--control", mesh.control_addresses)
     assert _run("apply", str(file), *control, "--timeout", "1").returncode == 4
-    done = _run("apply", str(file), *control, "--tls", str(tmp_path / "tls"))
-    assert done.returncode == 0, done.stdout + done.stderr
+    completed = _run("apply", str(file), *control, "--tls", str(tmp_path / "tls"))
+    assert completed.returncode == 0, completed.stdout + completed.stderr
     assert "E105" not in "".join(process.log() for process in mesh.processes)
     trace = "00-" + "1" * 32 + "-" + "2" * 16 + "-01"
     status, body = mesh.request("GET", "/x", headers={"traceparent": trace})
--- a/tests/test_platform.py
+++ b/tests/test_platform.py
@@ -15,12 +15,12 @@
 
 @pytest.fixture
 def platform(tmp_path):
-    made = PlatformProcesses(tmp_path)
+    processes = PlatformProcesses(tmp_path)
     try:
-        made.start()
-        yield made
+        processes.start()
+        yield processes
     finally:
-        made.stop()
+        processes.stop()
 
 
 def test_a_version_and_a_request_go_the_whole_way(platform):
@@ -31,7 +31,7 @@
     platform.wait_all_ready()
     answer = status, headers, body = platform.request(platform.daemons[0], "id-1", {"X-Caller-Service": "forged"})
     assert (status, body, headers.get("x-request-id")) == (200, b"3 ibises", "id-1"), str(answer)
-    (seen,) = [head for app in platform.applications.values() for head in app.seen]
+    (seen,) = [head for app in platform.applications.values() for head in app.received_headers]
     assert seen["x-caller-service"] == "s1"
     assert seen["x-expect-instance"] == headers["x-server-stamp"]
     assert 0 < int(seen["x-deadline-ms"]) <= 1500
@@ -63,7 +63,7 @@
     platform.wait_all_ready()
 
 
-def _votes_anew(platform: PlatformProcesses, ip: str) -> bool:
+def _votes_as_new_incarnation(platform: PlatformProcesses, ip: str) -> bool:
     """Tell whether a control instance votes under another incarnation than its first."""
     lines = (platform.folder / f"{ip}.log").read_text(encoding="utf-8").splitlines()
     changes = [json.loads(line) for line in lines if '"E206"' in line]
@@ -82,7 +82,7 @@
     for path in (platform.folder / f"data-{lost}").iterdir():
         path.unlink()
     platform.restart(lost)
-    wait_for(lambda: _votes_anew(platform, lost))
+    wait_for(lambda: _votes_as_new_incarnation(platform, lost))
     # The others may now go, one at a time.
     platform.processes[platform.controls[1]].kill()
     assert platform.put(make_configuration(5, 4, timeoutS=1.1)) == 200
@@ -98,8 +98,8 @@
     wait_for(lambda: platform.request(leaving, "before")[1].get("x-server-stamp") == upstream)
     application = platform.applications[leaving]
     platform.draining = frozenset((application.upstream,))
-    assert application.beat("draining") == 200
-    before = len(application.seen)
+    assert application.send_heartbeat("draining") == 200
+    before = len(application.received_headers)
     for number in range(10):
         answer = status, headers, _ = platform.request(leaving, f"drain-{number}")
         assert (status, headers.get("x-server-stamp")) == (200, upstream), str(answer)
@@ -109,7 +109,7 @@
     platform.wait_ready(leaving)
     for number in range(10):
         platform.request(leaving, f"again-{number}")
-    assert len(application.seen) == before
+    assert len(application.received_headers) == before
 
 
 def test_an_upstream_comes_back_after_a_planned_stop_of_its_daemon(platform):
@@ -156,13 +156,13 @@
 
     wait_for(is_served_there)
     platform.draining = frozenset((application.upstream,))
-    assert application.beat("draining") == 200
+    assert application.send_heartbeat("draining") == 200
     wait_for(lambda: not any(is_served_there() for _ in range(10)))
     platform.draining = frozenset()
     if is_daemon_restarted:
         platform.restart(crashed)
         platform.wait_ready(crashed)
-    application.start_again()
+    application.start_new_incarnation()
     wait_for(is_served_there)
 
 
--- a/tests/test_quarantine_command.py
+++ b/tests/test_quarantine_command.py
@@ -15,12 +15,12 @@
 
 @pytest.fixture
 def mesh(tmp_path):
-    with LocalMesh(tmp_path / "mesh", ["nbo-a", "nbo-b", "nbo-c"], {"checklists": UPSTREAMS}, work=1.0) as made:
-        made.start()
-        yield made
+    with LocalMesh(tmp_path / "mesh", ["nbo-a", "nbo-b", "nbo-c"], {"checklists": UPSTREAMS}, work=1.0) as local_mesh:
+        local_mesh.start()
+        yield local_mesh
 
 
-def _run_everywhere_while_all_end(mesh: LocalMesh) -> None:
+def _crash_all_applications_during_requests(mesh: LocalMesh) -> None:
     """End all applications while one request runs on each of them."""
     callers = [threading.Thread(target=mesh.request, args=("GET", PATH, b"", number)) for number in range(12)]
     for caller in callers:
@@ -36,19 +36,19 @@
     operator = Operator(mesh, tmp_path)
     assert operator.apply(1)[0] == 0
     assert operator.run("quarantine") == (0, {"requests": [], "cleared": False})
-    _run_everywhere_while_all_end(mesh)
-    found = []
+    _crash_all_applications_during_requests(mesh)
+    listed = []
 
     def is_listed() -> bool:
-        found[:] = operator.run("quarantine")[1]["requests"]
-        return bool(found)
+        listed[:] = operator.run("quarantine")[1]["requests"]
+        return bool(listed)
 
     mesh.wait_for(is_listed, "the request is quarantined")
-    assert len(found) == 1 and len(found[0]["crashes"]) == UPSTREAMS
+    assert len(listed) == 1 and len(listed[0]["crashes"]) == UPSTREAMS
     mesh.start_stand_ins()
     status, body = mesh.request("GET", PATH)
     assert status == 503 and b"LD3014" in body
     assert operator.run("quarantine", "--clear", "00")[0] == 1
-    code, value = operator.run("quarantine", "--clear", found[0]["request"])
+    code, value = operator.run("quarantine", "--clear", listed[0]["request"])
     assert (code, value) == (0, {"requests": [], "cleared": True})
     mesh.wait_for(lambda: mesh.request("GET", PATH)[0] == 200, "the request is served")
--- a/tests/test_suspension.py
+++ b/tests/test_suspension.py
@@ -13,7 +13,7 @@
 from contextlib import contextmanager
 
 import pytest
-from platform_processes import CONTROL_PORT, HOOKS, OUT_PORT, PlatformProcesses
+from platform_processes import CONTROL_PORT, HOOKS, OUTBOUND_PORT, PlatformProcesses
 
 from lanedock_platform.tests.test_translation import make_configuration
 
@@ -29,12 +29,12 @@
 @pytest.fixture
 def platform(tmp_path, monkeypatch):
     monkeypatch.setattr(sys, "path", [str(HOOKS), *sys.path])
-    made = PlatformProcesses(tmp_path)
+    processes = PlatformProcesses(tmp_path)
     try:
-        made.start_ready(make_configuration(4, 0))
-        yield made
+        processes.start_ready(make_configuration(4, 0))
+        yield processes
     finally:
-        made.stop()
+        processes.stop()
 
 
 @contextmanager
@@ -48,7 +48,7 @@
         process.send_signal(signal.SIGCONT)
 
 
-def _ask_as_it_resumes(process, address: tuple[str, int], request: bytes, meanwhile=lambda: None) -> bytes:
+def _send_while_suspended(process, address: tuple[str, int], request: bytes, meanwhile=lambda: None) -> bytes:
     """Send a request to a process while it is suspended; it finds the request as it resumes."""
     with _suspended(process):
         meanwhile()
@@ -65,7 +65,7 @@
         platform.processes[ip].kill()
         platform.processes[ip].wait()
     ip = platform.daemons[0]
-    answer = _ask_as_it_resumes(platform.processes[ip], (ip, OUT_PORT), REQUEST)
+    answer = _send_while_suspended(platform.processes[ip], (ip, OUTBOUND_PORT), REQUEST)
     assert answer.startswith(b"HTTP/1.1 503"), answer
 
 
@@ -86,7 +86,7 @@
         def put(others=others, version=version) -> None:
             assert platform.put_at(others, version) == 200
 
-        answer = _ask_as_it_resumes(platform.processes[ip], (ip, CONTROL_PORT), READ, put)
+        answer = _send_while_suspended(platform.processes[ip], (ip, CONTROL_PORT), READ, put)
         assert b"HTTP/1.1 503" in answer or version["version"].encode() in answer, answer
 
 
--- a/tests/test_versions.py
+++ b/tests/test_versions.py
@@ -17,7 +17,7 @@
 EXIT_APPLIED, EXIT_FINDINGS, EXIT_NOT_RUN, EXIT_NOT_KNOWN, EXIT_ACCEPTED = 0, 2, 3, 4, 5
 
 
-def _deadline(milliseconds: int):
+def _set_deadline(milliseconds: int):
     """Return a change that makes another content."""
 
     def change(value: dict) -> None:
@@ -26,50 +26,50 @@
     return change
 
 
-def _other_routes(value: dict) -> None:
+def _add_distinct_routes(value: dict) -> None:
     """Add routes that no other version has: an entry of the log holds what has changed."""
     for number in range(300):
         path = hashlib.sha256(f"{value['version']}/{number}".encode()).hexdigest()
         value["routes"].append({**value["routes"][0], "name": f"other-{number}", "path": f"/{path}"})
 
 
-def _status(operator) -> dict:
+def _read_status(operator) -> dict:
     code, status = operator.run("status")
     assert code == 0
     return status
 
 
-def _in_force(operator) -> set[int]:
-    return {item["in_force"] for item in _status(operator)["daemons"]}
+def _read_versions_in_force(operator) -> set[int]:
+    return {item["in_force"] for item in _read_status(operator)["daemons"]}
 
 
-def _lines(process, event: str) -> list[dict]:
+def _read_events(process, event: str) -> list[dict]:
     """Return a process's log lines of one event."""
     lines = [json.loads(line) for line in process.log().splitlines() if line.startswith("{")]
     return [line for line in lines if line["event"] == event]
 
 
-def _versions(process) -> list[int]:
+def _read_used_versions(process) -> list[int]:
     """Return the versions that a daemon has used, in order."""
-    return [line["version"] for line in _lines(process, "E304")]
+    return [line["version"] for line in _read_events(process, "E304")]
 
 
-def _leader(operator):
-    (name,) = [item["replica"] for item in _status(operator)["replicas"] if item["leader"]]
+def _find_leader(operator):
+    (name,) = [item["replica"] for item in _read_status(operator)["replicas"] if item["leader"]]
     return operator.mesh.controls[name]
 
 
-def _zone(mesh, zone: str) -> list:
+def _find_processes(mesh, zone: str) -> list:
     return [process for process in mesh.processes if process.settings["zone"] == zone]
 
 
-def _send(processes, number) -> None:
+def _send_signal(processes, number) -> None:
     for process in processes:
         process.popen.send_signal(number)
 
 
 def _wait_connected(operator, count: int) -> None:
-    operator.mesh.wait_for(lambda: len(_status(operator)["daemons"]) == count, f"{count} daemons are connected")
+    operator.mesh.wait_for(lambda: len(_read_status(operator)["daemons"]) == count, f"{count} daemons are connected")
 
 
 def test_answers_to_operators_who_race_resend_and_come_late(operator):
@@ -78,14 +78,14 @@
     assert operator.apply(5)[1]["answer"] == "applied"
     assert operator.run("history")[1] == first
 
-    code, answer = operator.apply(5, _deadline(1))
+    code, answer = operator.apply(5, _set_deadline(1))
     assert (code, answer["code"]) == (EXIT_NOT_RUN, "LD2002")
     code, answer = operator.apply(4)
     assert (code, answer["code"]) == (EXIT_NOT_RUN, "LD2001")
 
     files = []
     for number in range(4):
-        path = operator.write(6, _deadline(100 + number))
+        path = operator.write(6, _set_deadline(100 + number))
         files.append(path.rename(path.with_name(f"race{number}.jsonc")))
     with ThreadPoolExecutor(4) as pool:
         results = list(pool.map(lambda path: operator.run("apply", str(path)), files))
@@ -93,8 +93,8 @@
     assert codes == [EXIT_APPLIED, EXIT_NOT_RUN, EXIT_NOT_RUN, EXIT_NOT_RUN]
     assert {answer["code"] for _, answer in results} <= {"", "LD2002", "LD2003"}
     (winner,) = [answer["digest"] for code, answer in results if code == EXIT_APPLIED]
-    assert _status(operator)["accepted_digest"] == winner
-    assert _in_force(operator) == {6}
+    assert _read_status(operator)["accepted_digest"] == winner
+    assert _read_versions_in_force(operator) == {6}
 
     path = operator.write(7, lambda value: value["routes"][0].update(service="none"))
     code, answer = operator.run("apply", str(path))
@@ -113,7 +113,7 @@
     frozen.popen.send_signal(signal.SIGCONT)
     assert (code, answer["code"]) == (EXIT_NOT_RUN, "LD2005")
     assert ["checklists-1" in item["message"] for item in answer["findings"]] == [True]
-    assert _in_force(operator) == {1}
+    assert _read_versions_in_force(operator) == {1}
     # Its zone can tell that a killed one holds no rules in force. Until both
     # witnesses have confirmed that, two to three seconds after, versions wait for it,
     # and those whose time to stage is over before are not run.
@@ -129,9 +129,9 @@
         assert (code, answer["required"]) == (EXIT_APPLIED, 8)
     dead.start()
     _wait_connected(operator, 9)
-    mesh.wait_for(lambda: _in_force(operator) == {14}, "the daemon jumps to the newest")
-    assert 14 in _versions(dead)
-    assert not set(range(first, 14)) & set(_versions(dead))
+    mesh.wait_for(lambda: _read_versions_in_force(operator) == {14}, "the daemon jumps to the newest")
+    assert 14 in _read_used_versions(dead)
+    assert not set(range(first, 14)) & set(_read_used_versions(dead))
 
 
 def test_a_leader_killed_while_a_version_is_staged_leaves_one_outcome(operator):
@@ -141,8 +141,8 @@
     frozen.popen.send_signal(signal.SIGSTOP)
     with ThreadPoolExecutor(1) as pool:
         job = pool.submit(operator.apply, 2)
-        mesh.wait_for(lambda: _status(operator)["candidate_version"] == 2, "version 2 is staged")
-        killed = _leader(operator)
+        mesh.wait_for(lambda: _read_status(operator)["candidate_version"] == 2, "version 2 is staged")
+        killed = _find_leader(operator)
         killed.kill()
         frozen.popen.send_signal(signal.SIGCONT)
         code, _ = job.result()
@@ -150,16 +150,18 @@
     assert again in (EXIT_APPLIED, EXIT_NOT_RUN)
     assert code in (again, EXIT_NOT_KNOWN)
     expected = 2 if again == EXIT_APPLIED else 1
-    mesh.wait_for(lambda: _in_force(operator) == {expected}, "everybody agrees")
+    mesh.wait_for(lambda: _read_versions_in_force(operator) == {expected}, "everybody agrees")
     killed.start()
-    mesh.wait_for(lambda: all(item["reachable"] for item in _status(operator)["replicas"]), "all replicas are back")
+    mesh.wait_for(
+        lambda: all(item["reachable"] for item in _read_status(operator)["replicas"]), "all replicas are back"
+    )
     assert operator.apply(2)[1]["answer"] == same["answer"]
 
 
 def test_a_leader_frozen_in_silence_is_followed_by_another_and_nothing_goes_back(operator):
     mesh = operator.mesh
     assert operator.apply(1)[0] == EXIT_APPLIED
-    old = _leader(operator)
+    old = _find_leader(operator)
     old.popen.send_signal(signal.SIGSTOP)
     # Its daemons move to other sources before everybody can be reached.
     number = 1
@@ -171,10 +173,10 @@
 
     mesh.wait_for(try_next, "a version passes under another leader", timeout=60)
     old.popen.send_signal(signal.SIGCONT)
-    mesh.wait_for(lambda: all(item["reachable"] for item in _status(operator)["replicas"]), "the old one is back")
+    mesh.wait_for(lambda: all(item["reachable"] for item in _read_status(operator)["replicas"]), "the old one is back")
     assert operator.apply(number + 1)[0] == EXIT_APPLIED
     for process in [*mesh.entries.values(), *mesh.upstreams.values()]:
-        versions = _versions(process)
+        versions = _read_used_versions(process)
         assert versions == sorted(versions)
         assert versions[-1] == number + 1
 
@@ -182,9 +184,9 @@
 def test_a_zone_cut_off_blocks_unless_the_operator_names_it(operator):
     mesh = operator.mesh
     assert operator.apply(1)[0] == EXIT_APPLIED
-    away = "nbo-b" if _leader(operator).settings["zone"] == "nbo-c" else "nbo-c"
-    cut = _zone(mesh, away)
-    _send(cut, signal.SIGSTOP)
+    away = "nbo-b" if _find_leader(operator).settings["zone"] == "nbo-c" else "nbo-c"
+    cut = _find_processes(mesh, away)
+    _send_signal(cut, signal.SIGSTOP)
     code, answer = operator.apply(2)
     assert code == EXIT_NOT_RUN
     assert all(away in item["message"] for item in answer["findings"])
@@ -192,8 +194,11 @@
     assert code == EXIT_ACCEPTED
     names = {process.name for process in cut if "control" not in process.settings}
     assert set(answer["lagging"]) == names
-    _send(cut, signal.SIGCONT)
-    mesh.wait_for(lambda: _in_force(operator) == {3} and len(_status(operator)["daemons"]) == 9, "the zone catches up")
+    _send_signal(cut, signal.SIGCONT)
+    mesh.wait_for(
+        lambda: _read_versions_in_force(operator) == {3} and len(_read_status(operator)["daemons"]) == 9,
+        "the zone catches up",
+    )
 
 
 def test_without_a_quorum_a_restarted_daemon_waits_and_the_others_serve(operator):
@@ -220,7 +225,7 @@
 def test_a_lost_disk_is_replaced_and_a_second_loss_right_after_loses_nothing(operator):
     mesh = operator.mesh
     assert operator.apply(1)[0] == EXIT_APPLIED
-    first, second = [process for process in mesh.controls.values() if process is not _leader(operator)]
+    first, second = [process for process in mesh.controls.values() if process is not _find_leader(operator)]
     for lost in (first, second):
         lost.kill()
         shutil.rmtree(Path(lost.settings["control"]["data_folder"]))
@@ -229,8 +234,8 @@
     history = operator.run("history")[1]
     assert [(item["version"], item["outcome"]) for item in history] == [(1, "accepted")]
     # Only the two new ones are left: they hold what was accepted.
-    _leader(operator).kill()
-    mesh.wait_for(lambda: _try_status(operator) == 1, "the new ones lead", timeout=60)
+    _find_leader(operator).kill()
+    mesh.wait_for(lambda: _read_confirmed_version(operator) == 1, "the new ones lead", timeout=60)
     assert [item["version"] for item in operator.run("history")[1]] == [1]
 
 
@@ -240,11 +245,11 @@
     if not identity.exists():
         return False
     incarnation = identity.read_text(encoding="utf-8")
-    changes = _lines(process, "E206")
+    changes = _read_events(process, "E206")
     return bool(changes) and incarnation in changes[-1]["voters"]
 
 
-def _try_status(operator) -> int:
+def _read_confirmed_version(operator) -> int:
     code, status = operator.run("status")
     return status["accepted_version"] if code == 0 and status["confirmed"] else 0
 
@@ -258,7 +263,7 @@
     for process in daemons:
         process.start()
     _wait_connected(operator, 9)
-    mesh.wait_for(lambda: _in_force(operator) == {3}, "all hold version 3 again")
+    mesh.wait_for(lambda: _read_versions_in_force(operator) == {3}, "all hold version 3 again")
     assert mesh.request("POST", "/sightings", b"x")[0] == 200
     # Everything dies together, control as well.
     for process in mesh.processes:
@@ -267,7 +272,11 @@
         process.start()
     for process in mesh.processes:
         mesh.wait_listening(process)
-    mesh.wait_for(lambda: _try_status(operator) == 3 and _in_force(operator) == {3}, "all are back", timeout=60)
+    mesh.wait_for(
+        lambda: _read_confirmed_version(operator) == 3 and _read_versions_in_force(operator) == {3},
+        "all are back",
+        timeout=60,
+    )
     assert operator.apply(4)[0] == EXIT_APPLIED
 
 
@@ -279,14 +288,14 @@
     assert operator.apply(2)[0] == EXIT_APPLIED
     client = ControlClient([Address.parse(text) for text in mesh.control_addresses.split(",")], None, 20.0)
     for number in range(3, 303):
-        content = operator.write(number, _deadline(1000 + number)).read_bytes()
+        content = operator.write(number, _set_deadline(1000 + number)).read_bytes()
         request = messages.SubmitRequest(version=number, content=content)
         reply = asyncio.run(client.submit(request, lambda progress: None))
         assert reply.answer == messages.ANSWER_APPLIED
     dead.start()
     _wait_connected(operator, 9)
-    mesh.wait_for(lambda: _in_force(operator) == {302}, "the daemon jumps to the newest")
-    assert _versions(dead) == [1, 302]
+    mesh.wait_for(lambda: _read_versions_in_force(operator) == {302}, "the daemon jumps to the newest")
+    assert _read_used_versions(dead) == [1, 302]
 
 
 def test_a_full_disk_takes_its_replica_out_and_nothing_else(operator):
@@ -294,8 +303,8 @@
     # The limit below holds for the process's own messages, too, so the log has
     # to be longer than those by far.
     for number in range(1, 11):
-        assert operator.apply(number, _other_routes)[0] == EXIT_APPLIED
-    full = next(process for process in mesh.controls.values() if process is not _leader(operator))
+        assert operator.apply(number, _add_distinct_routes)[0] == EXIT_APPLIED
+    full = next(process for process in mesh.controls.values() if process is not _find_leader(operator))
     size = (Path(full.settings["control"]["data_folder"]) / "log").stat().st_size
     assert size > 5 * full.log_path.stat().st_size
     # What the file may not grow by, the disk has no room for.
@@ -307,21 +316,21 @@
         return operator.apply(number)[0] == EXIT_APPLIED
 
     mesh.wait_for(try_next, "a version passes without the replica", timeout=60)
-    assert _lines(full, "E204")
+    assert _read_events(full, "E204")
     assert "Traceback" not in full.log()
     assert operator.apply(number + 1)[0] == EXIT_APPLIED
-    assert _in_force(operator) == {number + 1}
+    assert _read_versions_in_force(operator) == {number + 1}
     # With room again it is started anew, with what it had synced.
     full.kill()
     full.start()
-    mesh.wait_for(lambda: all(item["reachable"] for item in _status(operator)["replicas"]), "it takes part again")
+    mesh.wait_for(lambda: all(item["reachable"] for item in _read_status(operator)["replicas"]), "it takes part again")
     assert operator.apply(number + 2)[0] == EXIT_APPLIED
 
 
 def test_a_bit_gone_bad_keeps_a_replica_from_starting(operator):
     mesh = operator.mesh
     assert operator.apply(1)[0] == EXIT_APPLIED
-    bad = next(process for process in mesh.controls.values() if process is not _leader(operator))
+    bad = next(process for process in mesh.controls.values() if process is not _find_leader(operator))
     bad.kill()
     log = Path(bad.settings["control"]["data_folder"]) / "log"
     data = bytearray(log.read_bytes())
@@ -330,4 +339,4 @@
     bad.start()
     assert bad.popen.wait(30) == 1
     assert "LD4001" in bad.log()
-    assert _status(operator)["accepted_version"] == 1
+    assert _read_status(operator)["accepted_version"] == 1
