--- a/tests/links.py
+++ b/tests/links.py
@@ -119,13 +119,13 @@
             link.conns.add(other)
             writer.write(ACCEPTED)
             await asyncio.gather(_forward(reader, other, link), _forward(other_reader, writer, link))
-            close = asyncio.StreamWriter.close
+            close_conn = asyncio.StreamWriter.close
         except OSError:
-            close = _reset  # the target refused, or one end reset the connection
+            close_conn = _reset  # the target refused, or one end reset the connection
         await link.is_open.wait()
         for conn in filter(None, (writer, other)):
             link.conns.discard(conn)
-            close(conn)
+            close_conn(conn)
 
 
 def _reset(conn: asyncio.StreamWriter) -> None:
--- a/tests/test_advertised_limits.py
+++ b/tests/test_advertised_limits.py
@@ -1,5 +1,5 @@
 # SPDX-License-Identifier: BSD-3-Clause
-"""Rate limits and drains that backends state in their answers, with real processes."""
+"""Tests of rate limits and draining that backends advertise in responses, with real processes."""
 
 import signal
 import time
@@ -9,7 +9,7 @@
 from crash_mesh import BackgroundLoad, CrashMesh, make_routes
 from platform_processes import wait_for
 
-# Seconds for which arrivals are counted once a limit binds.
+# Seconds for which arrivals are counted once a limit is enforced.
 COUNTING_TIME = WINDOW + 1.0
 
 
@@ -29,7 +29,7 @@
 
 
 @pytest.mark.parametrize("rates", [(4.0,), (0.4,), (0.0,), (3.0, 2.0)])
-def test_limited_upstreams_get_no_more_and_nobody_pays_for_it(mesh, rates):
+def test_rate_limited_upstreams_receive_no_excess_requests_and_all_requests_are_served(mesh, rates):
     load = BackgroundLoad(mesh, "/c/limited-{caller}-{number}")
     for app, rate in zip(mesh.applications.values(), rates, strict=False):
         app.limit(rate)
@@ -39,7 +39,7 @@
     assert load.served_fraction(0.0) == 1.0
 
 
-def test_a_limit_holds_while_daemons_are_killed_and_suspended(mesh):
+def test_rate_limit_holds_while_daemons_are_killed_and_suspended(mesh):
     load = BackgroundLoad(mesh, "/c/killed-{caller}-{number}")
     limited = mesh.daemons[0]
     mesh.applications[limited].limit(2.0)
@@ -56,7 +56,7 @@
     assert _find_all_violations(mesh) == []
 
 
-def test_a_limit_that_is_withdrawn_ends(mesh):
+def test_withdrawn_rate_limit_no_longer_applies(mesh):
     load = BackgroundLoad(mesh, "/c/withdrawn-{caller}-{number}")
     app = next(iter(mesh.applications.values()))
     app.limit(0.0)
@@ -67,10 +67,10 @@
     load.stop()
 
 
-def test_an_upstream_that_states_it_leaves_gets_nothing_more_though_its_heartbeats_are_ready(mesh):
+def test_upstream_that_advertises_draining_receives_no_requests_despite_ready_heartbeats(mesh):
     load = BackgroundLoad(mesh, "/c/leaving-{caller}-{number}")
     time.sleep(1.0)
-    # Of two idle upstreams in a zone the quicker one gets all requests.
+    # The faster of two idle upstreams in a zone receives all requests.
     app = max(mesh.applications.values(), key=lambda candidate: len(candidate.arrivals))
     incarnation = app.upstream
     app.replace(DRAIN_GRACE + 2.5, by_responses=True)
--- a/tests/test_canary_model.py
+++ b/tests/test_canary_model.py
@@ -1,5 +1,8 @@
 # SPDX-License-Identifier: BSD-3-Clause
-"""Canary releases of a fleet of 92 daemons, in the model of tools/bench_canary.py (virtual time: a seed repeats)."""
+"""Canary releases of a fleet of 92 daemons in the simulation of tools/bench_canary.py.
+
+The simulation runs in virtual time, so that equal seeds give equal results.
+"""
 
 import sys
 from pathlib import Path
@@ -15,18 +18,18 @@
 
 CASES = {case.name: case for case in bench_canary.CASES}
 SHARE, SLACK = 0.1, 50
-# Seconds after its 50th bad answer by which a version is sent nothing any more.
+# Maximum seconds between the 50th failed response of a version and the last request that it receives.
 STOP_WITHIN = 3.0
 
 
-def _play(name: str, seed: int, rate: float = 450.0) -> bench_canary.Outcome:
+def _simulate(name: str, seed: int, rate: float = 450.0) -> bench_canary.Outcome:
     return bench_canary.Fleet(seed, CASES[name], rate, 16.0, 92, CusumAnalysis).play()
 
 
 @pytest.mark.parametrize("seed", range(2))
 @pytest.mark.parametrize("name", [name for name, case in CASES.items() if not case.is_bad])
-def test_a_good_version_is_completed_in_time(name, seed):
-    outcome = _play(name, seed)
+def test_good_version_completes_in_time(name, seed):
+    outcome = _simulate(name, seed)
     assert outcome.phase == messages.CANARY_COMPLETED
     assert outcome.ended_at < 16
 
@@ -35,16 +38,16 @@
 @pytest.mark.parametrize(
     "name", [name for name, case in CASES.items() if case.is_bad and name != "half is 2 times slower"]
 )
-def test_a_bad_version_is_rolled_back_and_gets_little(name, seed):
-    outcome = _play(name, seed)
+def test_bad_version_is_rolled_back_after_few_requests(name, seed):
+    outcome = _simulate(name, seed)
     assert outcome.phase == messages.CANARY_ROLLED_BACK
     assert outcome.canary <= SHARE * outcome.total + SLACK
     assert (outcome.late_by or 0.0) <= STOP_WITHIN
 
 
 @pytest.mark.parametrize("rate", [50.0, 2000.0])
-def test_at_other_rates(rate):
-    assert _play("good", 0, rate).phase == messages.CANARY_COMPLETED
-    bad = _play("fails 0.35", 0, rate)
+def test_canary_is_judged_correctly_at_other_request_rates(rate):
+    assert _simulate("good", 0, rate).phase == messages.CANARY_COMPLETED
+    bad = _simulate("fails 0.35", 0, rate)
     assert bad.phase == messages.CANARY_ROLLED_BACK
     assert bad.canary <= SHARE * bad.total + SLACK
--- a/tests/test_canary_platform.py
+++ b/tests/test_canary_platform.py
@@ -1,5 +1,5 @@
 # SPDX-License-Identifier: BSD-3-Clause
-"""Canary releases with the platform's program as real processes."""
+"""Tests of canary releases with the platform program as real processes."""
 
 import threading
 from collections import Counter
@@ -15,7 +15,7 @@
 
 
 class Callers:
-    """Send requests to the second daemon, one after the other each, until they are stopped."""
+    """Context manager whose threads each send sequential requests to the second daemon until it exits."""
 
     def __init__(self, platform: PlatformProcesses):
         self.answers: Counter = Counter()
@@ -54,7 +54,7 @@
 
 
 def _wait_for_end(platform: PlatformProcesses) -> str:
-    """Wait until the canary has ended; returns its state."""
+    """Wait until the canary is no longer running; returns its state."""
     wait_for(lambda: _read_state(platform) != "running")
     return _read_state(platform)
 
@@ -71,7 +71,7 @@
 
 
 def _find_leader(platform: PlatformProcesses) -> str:
-    """Return the control instance that answers by itself."""
+    """Return the control instance that answers without a redirect."""
     return wait_for(
         lambda: next((ip for ip in platform.controls if call(ip, CONTROL_PORT, "GET", GET)[0] == 200), None)
     )
@@ -85,12 +85,12 @@
         platform.restart(ip)
 
 
-def test_a_good_version_gets_everything_and_stays(platform):
+def test_good_version_receives_all_requests_and_remains_after_restarts(platform):
     stable = list(platform.daemons)
     with Callers(platform) as callers:
         assert platform.call_operator_api("POST", START, ORDER)[0] == 200
         added = platform.add_upstreams(2, "v2")
-        # Sent again, to whichever instance: acknowledged again.
+        # A resent order is acknowledged by any instance.
         assert platform.call_operator_api("POST", START, ORDER)[0] == 200
         assert platform.call_operator_api("POST", START, {**ORDER, "targetVersion": "v3"})[0] == 409
         assert _wait_for_end(platform) == "completed"
@@ -98,7 +98,7 @@
         assert _count_received(platform, added) > 0
         _kill_controls(platform)
         assert _read_state(platform) == "completed"
-        # A daemon that knows nothing learns it before it serves.
+        # A restarted daemon learns the result before it serves.
         platform.restart(stable[0])
         platform.wait_ready(stable[0])
         count = _count_received(platform, added)
@@ -108,7 +108,7 @@
     assert set(callers.answers) == {(200, b"")}
 
 
-def test_a_bad_version_is_rolled_back_also_when_the_leader_is_killed(platform):
+def test_bad_version_is_rolled_back_although_the_leader_is_killed(platform):
     stable = list(platform.daemons)
     with Callers(platform):
         assert platform.call_operator_api("POST", START, ORDER)[0] == 200
@@ -116,7 +116,7 @@
         added = platform.add_upstreams(2, "v2", is_failing=True)
         platform.restart(leader)
         assert _wait_for_end(platform) == "rolled_back"
-        # Requests that were on their way have arrived once both daemons follow the rule.
+        # Requests that were in flight have arrived once both daemons apply the rollback.
         before = _count_received(platform, added)
         count = _count_received(platform, stable)
         wait_for(lambda: _count_received(platform, stable) > count + 100)
@@ -138,7 +138,7 @@
         ({"durationS": "12"}, "/durationS"),
     ],
 )
-def test_an_order_that_can_not_be_carried_out_is_refused_with_its_place(platform, order, place):
+def test_invalid_order_is_rejected_with_the_path_of_the_field(platform, order, place):
     status, answer = platform.call_operator_api("POST", START, {**ORDER, **order})
     assert status == 400
     assert place in answer["error"]
--- a/tests/test_crashing_requests.py
+++ b/tests/test_crashing_requests.py
@@ -1,21 +1,17 @@
 # SPDX-License-Identifier: BSD-3-Clause
-"""Requests that crash the applications that run them.
-
-What users saw: on a small deployment a tenth and more of the lookups of one service failed, in
-turns of seconds, while its upstreams ended one after the other: sixteen and seventeen of them
-under one and the same request, seven and eight of these long after it had ended three.
-
-The order of events: a request crashes the upstream that runs it. Its caller's daemon sends it to
-another upstream at once, since it may be repeated; that one ends, too, and with it all that ran
-there, which is sent again in turn. The caller retries at any daemon and begins anew.
-
-The cause: nothing was kept of a request beyond its own life. Each daemon, and each return of the
-caller, took it for a new one, and an upstream's end for that upstream's fault.
-
-The evidence: six daemons with an application each, which resets its connections, is away for a
-second and starts again. Of 25 sends 0.1 s apart that began three seconds after the third crash 14
-reached an application, 24 where the crash comes 0.15 s into the run, and 14 of a request with a
-body that may not be repeated; of 48 sends at once 21. Most sends found no application left.
+"""Requests that crash the applications that run them are quarantined after three crashes.
+
+Without a quarantine, a crashing request is retried on another upstream, which crashes, too, and the
+requests that ran there are retried in turn. The caller's own retries at any daemon repeat the cycle,
+because no daemon remembers a request after it ends and each crash is attributed to the upstream.
+On a small deployment a tenth and more of the lookups of one service failed in periods of seconds: its
+upstreams crashed sixteen and seventeen times under one request, seven and eight of these crashes long
+after the third.
+
+Without a quarantine, with six daemons whose applications reset their connections and restart after one
+second: of 25 sends 0.1 s apart that began three seconds after the third crash, 14 reached an
+application, 24 with a crash 0.15 s into the run, and 14 of a request with a body that must not be
+retried; of 48 concurrent sends, 21. Most of the other sends found no running application.
 """
 
 import time
@@ -37,7 +33,7 @@
         mesh = CrashMesh(tmp_path, crash_after)
         meshes.append(mesh)
         mesh.start_ready(make_routes(4, 0))
-        # Each application takes part.
+        # Wait until every application receives requests.
         wait_for(lambda: all(_receives_requests(mesh, app) for app in mesh.applications.values()))
         return mesh
 
@@ -47,7 +43,7 @@
 
 
 def _receives_requests(mesh: CrashMesh, app: CrashingApplication) -> bool:
-    # At once: of requests that come one by one the quickest upstream of a zone may get all for 10 s.
+    # Sends are concurrent: the fastest upstream of a zone may receive all sequential requests for 10 s.
     with ThreadPoolExecutor(4 * DAEMONS) as pool:
         list(pool.map(lambda number: mesh.send(number, "GET", f"/c/warm-{number}"), range(4 * DAEMONS)))
     return bool(app.arrivals)
@@ -63,7 +59,7 @@
     ],
     ids=["may be repeated", "crashes while it runs", "with a body", "with a body in chunks"],
 )
-def test_a_request_that_has_crashed_three_upstreams_reaches_hardly_any_more(make_mesh, request_, crash_after):
+def test_request_that_crashed_three_upstreams_reaches_few_others(make_mesh, request_, crash_after):
     mesh = make_mesh(crash_after)
     harmless = BackgroundLoad(mesh, "/c/harmless-{caller}-{number}")
     since = mesh.crash_three_and_wait(request_)
@@ -75,7 +71,7 @@
     assert harmless.served_fraction(since) >= MIN_SERVED_FRACTION
 
 
-def test_sends_at_all_daemons_at_once_reach_hardly_any_more(make_mesh):
+def test_concurrent_sends_of_a_crashing_request_reach_few_others(make_mesh):
     mesh = make_mesh(0.1)
     request = ("GET", f"/c/{POISON}")
     since = mesh.crash_three_and_wait(request)
@@ -84,8 +80,8 @@
     assert mesh.count_arrivals(request[1], since) <= MAX_ARRIVALS
 
 
-def test_a_call_that_crashes_upstreams_is_kept_away_and_what_made_it_is_not(make_mesh):
-    """The request that calls runs on, and its upstream answers that the call has failed."""
+def test_crashing_nested_call_is_quarantined_and_its_outer_request_is_not(make_mesh):
+    """The outer request still runs, and its upstream answers that the nested call has failed."""
     mesh = make_mesh()
     inner, outer = f"/c/{POISON}", f"{CALL_PATH_PREFIX}/c/{POISON}"
     since = mesh.crash_three_and_wait(("GET", outer))
@@ -95,8 +91,8 @@
     assert mesh.count_arrivals(outer, since) >= SEND_COUNT
 
 
-def test_what_merely_runs_beside_crashes_is_served(make_mesh):
-    """Three of six applications crash six times each, while equal requests run on them."""
+def test_harmless_request_that_runs_during_crashes_is_served(make_mesh):
+    """Three of six applications crash six times each while identical harmless requests run on them."""
     mesh = make_mesh()
     harmless = BackgroundLoad(mesh, "/c/popular")
     crashed = list(mesh.applications.values())[:3]
@@ -110,7 +106,7 @@
     assert harmless.served_fraction(since) == 1.0
 
 
-def test_daemons_that_are_started_after_it_know_of_it_once_they_are_ready(make_mesh):
+def test_restarted_daemons_know_quarantined_requests_once_ready(make_mesh):
     mesh = make_mesh()
     request = ("GET", f"/c/{POISON}")
     mesh.crash_three_applications(request)
@@ -125,9 +121,9 @@
     assert mesh.count_arrivals(request[1], since) == 0
 
 
-def test_all_daemons_know_of_it_whichever_control_instance_they_listen_to(make_mesh):
-    """Found by a test of the operators' command: control instances kept their daemons' word to themselves."""
+def test_all_daemons_learn_of_a_quarantine_through_any_control_instance(make_mesh):
+    """Guards against control instances that do not share the crashes reported by their daemons."""
     mesh = make_mesh()
-    # At one daemon: the others learn of it by control alone.
+    # Crashes reach one daemon only; the others learn of them only through the control instances.
     mesh.crash_three_applications(("GET", f"/c/{POISON}"), [0])
     wait_for(lambda: all(read_metric(ip, "lanedock_requests_quarantined") == 1 for ip in mesh.daemons))
--- a/tests/test_cuts.py
+++ b/tests/test_cuts.py
@@ -1,5 +1,5 @@
 # SPDX-License-Identifier: BSD-3-Clause
-"""Zones that are cut off from one another, between real processes (see `links.py`)."""
+"""Tests of network partitions between zones, with real processes (see `links.py`)."""
 
 import time
 
@@ -16,8 +16,8 @@
 from crashing_application import POISON
 from platform_processes import read_version, wait_for
 
-# Seconds after a cut or its end in which callers may notice it: links fall silent, and other
-# upstreams are found.
+# Seconds after the start or end of a partition in which callers may still be affected: links have to time out
+# and other upstreams have to be found.
 DETECTION_TIME = 5.0
 
 
@@ -35,8 +35,8 @@
     return [number for number, ip in enumerate(mesh.daemons) if mesh.zone(ip) == zone]
 
 
-def test_two_zones_that_have_counted_one_and_two_crashes_learn_of_each_other_by_the_third(mesh):
-    """The request crashes two upstreams in one zone and one in another, which don't reach each other."""
+def test_crashes_in_two_partitioned_zones_are_counted_together_through_the_third_zone(mesh):
+    """A request crashes upstreams in two zones that are partitioned from each other."""
     request = ("GET", f"/c/{POISON}")
     mesh.set_partitions(("z0", "z1"))
     time.sleep(DETECTION_TIME)
@@ -50,8 +50,8 @@
     assert harmless.served_fraction(since) >= MIN_SERVED_FRACTION
 
 
-def test_zones_that_are_cut_off_from_one_another_serve_on_and_never_by_a_replaced_version(mesh):
-    """A majority goes on; the third zone answers no read by what was replaced, and takes the new one after it."""
+def test_partitioned_zones_keep_serving_and_return_no_replaced_version(mesh):
+    """The majority continues; the isolated zone returns no replaced version, and gets the new one afterwards."""
     mesh.set_partitions(("z0", "z1"), ("z0", "z2"))
     time.sleep(DETECTION_TIME)
     harmless = BackgroundLoad(mesh, "/c/harmless-{caller}-{number}")
@@ -66,7 +66,7 @@
         time.sleep(SEND_INTERVAL)
     harmless.stop()
     assert harmless.served_fraction(acknowledged_at) >= MIN_SERVED_FRACTION
-    # It is not told of version 5, and so answers none.
+    # The isolated control instance does not learn of version 5, so that it answers no read.
     assert not any(status == 200 for status, _ in isolated_reads), isolated_reads
     mesh.set_partitions()
     wait_for(lambda: all(read_version(ip) == (200, 5) for ip in mesh.controls))
--- a/tests/test_demo.py
+++ b/tests/test_demo.py
@@ -1,5 +1,5 @@
 # SPDX-License-Identifier: BSD-3-Clause
-"""The demo of both deployments, as `make demo` runs it."""
+"""Tests the demo of both deployments, as run by `make demo`."""
 
 import subprocess
 import sys
@@ -11,7 +11,7 @@
 
 
 @pytest.mark.parametrize("name", ["kijani", "bayanihan"])
-def test_the_demo_runs_to_its_end(name):
+def test_demo_applies_a_version_and_serves_requests(name):
     line = [sys.executable, "tools/demo.py", f"examples/{name}.jsonc"]
     completed = subprocess.run(line, cwd=ROOT, capture_output=True, text=True, check=False, timeout=120)
     assert completed.returncode == 0, completed.stdout + completed.stderr
--- a/tests/test_documents.py
+++ b/tests/test_documents.py
@@ -1,5 +1,5 @@
 # SPDX-License-Identifier: BSD-3-Clause
-"""Tests that documents and code agree, and that imports keep their directions."""
+"""Tests that documents match the code, and that subpackages import only what they may."""
 
 import ast
 import subprocess
@@ -14,8 +14,7 @@
 ROOT = Path(__file__).parent.parent
 LIBRARY = ROOT / "packages" / "lanedock" / "lanedock"
 
-# What each subpackage of the library may import of it. docs/architecture.md
-# draws the same.
+# Subpackages of the library that each subpackage may import; docs/architecture.md shows the same.
 ALLOWED_IMPORTS = {
     "averages": set(),
     "canary": {"errors", "membership", "wire"},
@@ -35,7 +34,7 @@
     "testing": set(),
     "wire": set(),
 }
-# Only the command line may need these: the daemon's memory is budgeted.
+# Packages that only the command line may import, because the memory of the daemon is budgeted.
 COMMAND_LINE_ONLY = {"typer", "rich", "lanedock_cli"}
 
 
@@ -53,7 +52,7 @@
     return path.relative_to(LIBRARY).parts[0].removesuffix(".py")
 
 
-def test_pages_made_from_the_code_are_current():
+def test_generated_pages_are_up_to_date():
     completed = subprocess.run(
         [sys.executable, "tools/make_docs.py", "--check"], cwd=ROOT, capture_output=True, text=True, check=False
     )
@@ -61,7 +60,7 @@
 
 
 @pytest.mark.parametrize("topic", sorted(ALLOWED_IMPORTS))
-def test_subpackages_import_only_what_they_may(topic):
+def test_subpackages_import_only_allowed_subpackages(topic):
     paths = [path for path in LIBRARY.rglob("*.py") if _find_subpackage(path) == topic and "tests" not in path.parts]
     assert paths
     for path in paths:
@@ -72,18 +71,18 @@
                 assert rest.split(".")[0] in ALLOWED_IMPORTS[topic] | {topic}, path
 
 
-def test_every_code_event_and_metric_is_used():
+def test_every_error_code_event_and_metric_is_used():
     code = "".join(path.read_text(encoding="utf-8") for path in (ROOT / "packages").rglob("*.py"))
     for kind in (ErrorCode, Event, Metric):
         for member in kind:
             assert f"{kind.__name__}.{member.name}" in code, f"{kind.__name__}.{member.name} is used nowhere"
 
 
-def test_every_subpackage_has_its_rule():
+def test_every_subpackage_has_an_import_rule():
     subpackages = {_find_subpackage(path) for path in LIBRARY.rglob("*.py")} - {"__init__"}
     assert subpackages == set(ALLOWED_IMPORTS)
 
 
-def test_the_daemon_does_not_import_what_only_the_command_line_needs():
+def test_daemon_does_not_import_command_line_packages():
     for path in (ROOT / "packages" / "lanedock-daemon").rglob("*.py"):
         assert not {name.partition(".")[0] for name in _find_imported_names(path)} & COMMAND_LINE_ONLY, path
--- a/tests/test_explain.py
+++ b/tests/test_explain.py
@@ -1,5 +1,5 @@
 # SPDX-License-Identifier: BSD-3-Clause
-"""From a failed request's id to its cause, by the steps of docs/OPERATIONS.md."""
+"""Tests of `lanedock explain`, which finds the cause of a failed request by its id (see docs/OPERATIONS.md)."""
 
 import subprocess
 import sys
@@ -15,14 +15,14 @@
 
 @pytest.fixture
 def slow_operator(tmp_path):
-    """Make a mesh whose upstreams work for a while, and its operator."""
+    """Make an operator of a mesh whose upstreams take 0.5 s per request."""
     with LocalMesh(tmp_path / "mesh", ["nbo-a"], SERVICES, work=0.5) as local_mesh:
         local_mesh.start()
         yield Operator(local_mesh, tmp_path)
 
 
 def _explain(mesh: LocalMesh, request: str, expected: str) -> str:
-    """Run ``lanedock explain`` until the logs hold what is expected."""
+    """Run ``lanedock explain`` until its output holds the expected text; returns the output."""
     logs = [str(process.log_path) for process in mesh.processes]
     line = [sys.executable, "-m", "lanedock_cli.app", "explain", request, *logs]
     texts = []
@@ -42,7 +42,7 @@
     return mesh.request(method, path, b"x" if method == "POST" else b"", headers={"x-request-id": request})[0]
 
 
-def test_refused_under_overload(slow_operator):
+def test_request_refused_under_overload_is_explained(slow_operator):
     def reduce_capacity(value: dict) -> None:
         for service in value["services"]:
             service["slots"], service["queue"] = 1, 0
@@ -55,12 +55,12 @@
     text = _explain(slow_operator.mesh, refused, "REQUEST_REFUSED")
     assert "LD3005" in text and "in_use=1 slots=1 waiting=0 queue=0" in text
     assert "outcome=not-run status=503" in text
-    # In the order in which it happened, over both processes.
+    # The events of both processes are listed in the order in which they happened.
     order = [text.index(name) for name in ("REQUEST_ROUTED", "REQUEST_SENT", "REQUEST_REFUSED", "REQUEST_ANSWERED")]
     assert order == sorted(order)
 
 
-def test_outcome_unknown_after_an_upstream_failed(slow_operator):
+def test_unknown_outcome_after_an_upstream_failed_is_explained(slow_operator):
     assert slow_operator.apply(1)[0] == 0
     with ThreadPoolExecutor(1) as pool:
         job = pool.submit(_send, slow_operator.mesh, "POST", "/sightings", "lost-1")
@@ -73,7 +73,7 @@
 
 
 def _wait_until_admitted(mesh: LocalMesh) -> None:
-    """Wait until the application is at work: its daemon has a connection to it."""
+    """Wait until the daemon has an established connection to the application."""
     _, port = mesh.applications["sightings-0"]
     port_hex = f"{port:04X}"
 
@@ -85,7 +85,7 @@
     mesh.wait_for(is_connected, "a connection to the application")
 
 
-def test_not_found_around_a_change(slow_operator):
+def test_request_without_a_route_after_a_change_is_explained(slow_operator):
     assert slow_operator.apply(1)[0] == 0
 
     def remove_media_routes(value: dict) -> None:
@@ -95,11 +95,11 @@
     assert _send(slow_operator.mesh, "GET", "/media/1", "gone-1") == 404
     text = _explain(slow_operator.mesh, "gone-1", "REQUEST_ROUTED")
     assert "reason=no route version=2" in text and "LD3001" in text
-    # The change stands beside it.
+    # The change of the configuration is listed with the request.
     assert "IN_FORCE  version=2" in text
 
 
-def test_a_request_that_nobody_knows_is_said_to_be(slow_operator):
+def test_request_that_is_in_no_log_is_reported(slow_operator):
     line = [sys.executable, "-m", "lanedock_cli.app", "explain", "never", str(slow_operator.mesh.processes[0].log_path)]
     completed = subprocess.run(line, capture_output=True, text=True, check=False, timeout=60)
     assert completed.returncode == 1 and "no line names never" in completed.stdout
--- a/tests/test_known_red.py
+++ b/tests/test_known_red.py
@@ -1,5 +1,5 @@
 # SPDX-License-Identifier: BSD-3-Clause
-"""Tests of the list of tests that are known to fail."""
+"""Tests of KNOWN-RED.txt, the list of tests that are expected to fail."""
 
 import shutil
 import subprocess
@@ -18,7 +18,7 @@
     return [[part.strip() for part in line.split("|")] for line in lines]
 
 
-def test_each_entry_names_a_test_that_is_there_with_command_finding_and_issue():
+def test_each_entry_names_an_existing_test_with_command_finding_and_issue():
     for test, command, seen, issue in _read_entries():
         file, _, name = test.partition("::")
         assert f"def {name}(" in (ROOT / file).read_text(encoding="utf-8")
@@ -36,7 +36,7 @@
         (False, 1, 0, "1 passed"),
     ],
 )
-def test_a_listed_test_has_to_fail(tmp_path, listed, value, code, shown):
+def test_listed_test_must_fail_and_unlisted_test_must_pass(tmp_path, listed, value, code, shown):
     shutil.copy(ROOT / "conftest.py", tmp_path)
     (tmp_path / "pyproject.toml").write_text("[tool.pytest.ini_options]\n", encoding="utf-8")
     (tmp_path / "packages").mkdir()
--- a/tests/test_load.py
+++ b/tests/test_load.py
@@ -1,5 +1,5 @@
 # SPDX-License-Identifier: BSD-3-Clause
-"""Requests that may not be repeated, under load, while processes stop, die and change."""
+"""Tests that requests which must not be retried run at most once while processes stop, crash or change version."""
 
 import http.client
 import json
@@ -13,7 +13,13 @@
 
 
 class Submitters:
-    """Threads that submit sightings, each with an id, and note what they received."""
+    """Threads that submit sightings with unique ids and record the outcomes.
+
+    Attributes
+    ----------
+    outcomes : dict of str to str
+        Outcome of each request id; "cut" for a connection that failed.
+    """
 
     def __init__(self, mesh):
         self.mesh = mesh
@@ -40,12 +46,12 @@
         return json.loads(body)["outcome"]
 
     def wait_for_more(self, count: int) -> None:
-        """Wait until so many more submissions were answered."""
+        """Wait until `count` more submissions are answered."""
         target = Counter(self.outcomes.values())["answered"] + count
         self.mesh.wait_for(lambda: Counter(self.outcomes.values())["answered"] >= target, "submissions go on")
 
     def stop(self) -> Counter:
-        """Stop, and return how often each outcome was received."""
+        """Stop the threads; returns the number of submissions with each outcome."""
         self.stop_event.set()
         for thread in self.threads:
             thread.join()
@@ -64,7 +70,7 @@
 
 
 def _check_outcomes(submitters: Submitters) -> Counter:
-    """Stop, and check each submission's runs against the outcome that its volunteer received."""
+    """Stop the submitters, and check how often each submission ran against its outcome."""
     outcomes = submitters.stop()
     executions = _count_executions(submitters.mesh)
     assert set(outcomes) <= {"answered", "not-run", "unknown", "cut"}
@@ -83,7 +89,7 @@
     started.stop()
 
 
-def test_planned_stops_cut_off_nothing(submitters):
+def test_planned_stops_interrupt_no_requests(submitters):
     mesh = submitters.mesh
     for process in [mesh.upstreams["sightings-0"], mesh.upstreams["sightings-1"]]:
         process.popen.terminate()
@@ -91,7 +97,7 @@
         submitters.wait_for_more(30)
         process.start()
         mesh.wait_listening(process)
-        # Back at work before the other one goes.
+        # The restarted upstream serves requests before the other one stops.
         before = _count_total_executions(mesh, process.name)
         mesh.wait_for(
             lambda name=process.name, count=before: _count_total_executions(mesh, name) > count, "it serves again"
@@ -100,7 +106,7 @@
     assert not outcomes["cut"] and not outcomes["unknown"], outcomes
 
 
-def test_killed_daemons_double_nothing(submitters):
+def test_killed_daemons_cause_no_duplicate_executions(submitters):
     mesh = submitters.mesh
     for _ in range(3):
         process = mesh.upstreams["sightings-0"]
@@ -109,11 +115,11 @@
         process.start()
         mesh.wait_listening(process)
     outcomes = _check_outcomes(submitters)
-    # One in progress on each connection may be lost with each kill.
+    # Each kill may lose the request in progress on each connection.
     assert outcomes["unknown"] + outcomes["cut"] <= 3 * THREADS
 
 
-def test_a_leaving_upstream_gets_no_new_work(submitters):
+def test_leaving_upstream_receives_no_new_requests(submitters):
     mesh = submitters.mesh
     mesh.set_state("sightings-0", "leaving")
     time.sleep(2)
@@ -132,7 +138,7 @@
     return total
 
 
-def test_versions_change_under_load_and_a_zone_goes_on_without_control(submitters, operator):
+def test_requests_are_answered_during_version_changes_and_without_control_instances(submitters, operator):
     for version in range(2, 6):
         change = (lambda value: value["routes"].pop(0)) if version % 2 else None
         assert operator.apply(version, change)[0] == 0
--- a/tests/test_memory.py
+++ b/tests/test_memory.py
@@ -1,10 +1,10 @@
 # SPDX-License-Identifier: BSD-3-Clause
-"""What a process holds that it doesn't need.
+"""Tests that processes load no libraries and start no threads that they do not need.
 
-A daemon stands in each upstream's slot, where 36 MB were resident, of the 32 that it is to take.
-Of these 3.6 MB were OpenSSL's library, loaded for a faster SHA-256, 2 MB a thread with a heap of
-its own, by which addresses were resolved that are numbers already, and 1.3 MB modules for files in
-archives, by which a file was found that lies beside the program.
+A daemon runs in the slot of each upstream and may take 32 MB; 36 MB were resident. Of these, 3.6 MB were
+the OpenSSL library, loaded for a faster SHA-256; 2 MB were a thread with its own heap that resolved
+addresses which are already numeric; and 1.3 MB were modules that read archives, loaded to find a file
+beside the program.
 """
 
 from pathlib import Path
@@ -26,21 +26,23 @@
         processes.stop()
 
 
-def _read(platform: PlatformProcesses, ip: str, name: str) -> str:
+def _read_proc_file(platform: PlatformProcesses, ip: str, name: str) -> str:
     return Path(f"/proc/{platform.processes[ip].pid}/{name}").read_text(encoding="utf-8")
 
 
-def test_no_process_loads_openssl_where_it_has_no_tls(platform):
+def test_processes_without_tls_do_not_load_openssl(platform):
     for ip in (*platform.controls, *platform.daemons):
-        assert "libcrypto" not in _read(platform, ip, "maps")
+        assert "libcrypto" not in _read_proc_file(platform, ip, "maps")
 
 
-def test_no_process_loads_what_reads_archives(platform):
+def test_processes_do_not_load_archive_libraries(platform):
     for ip in (*platform.controls, *platform.daemons):
-        assert "_lzma" not in _read(platform, ip, "maps")
+        assert "_lzma" not in _read_proc_file(platform, ip, "maps")
 
 
-def test_a_daemon_that_connects_to_addresses_has_one_thread(platform):
+def test_daemon_that_connects_to_numeric_addresses_has_one_thread(platform):
     for ip in platform.daemons:
-        (threads,) = (line for line in _read(platform, ip, "status").splitlines() if line.startswith("Threads:"))
+        (threads,) = (
+            line for line in _read_proc_file(platform, ip, "status").splitlines() if line.startswith("Threads:")
+        )
         assert threads.split() == ["Threads:", "1"]
--- a/tests/test_operators.py
+++ b/tests/test_operators.py
@@ -1,5 +1,5 @@
 # SPDX-License-Identifier: BSD-3-Clause
-"""What operators use besides applying: doctor, traces, metrics, TLS, bad settings."""
+"""Tests of operator tools besides `apply`: doctor, traces, metrics, TLS and reports of invalid settings."""
 
 import json
 import socket
@@ -46,7 +46,7 @@
         ("entry", {"listen": "127.0.0.1:80"}, ""),
     ],
 )
-def test_bad_settings_are_found_at_their_place(tmp_path, path, new, place):
+def test_invalid_settings_are_reported_with_their_path(tmp_path, path, new, place):
     value = json.loads(json.dumps(SETTINGS))
     *parents, last = path.split("/")
     target = value
@@ -69,7 +69,7 @@
     assert f"{file}:" in completed.stderr
 
 
-def test_doctor_tells_all_that_is_wrong(tmp_path):
+def test_doctor_reports_all_failed_checks(tmp_path):
     with socket.socket() as taken:
         taken.bind(("127.0.0.1", 0))
         taken.listen()
@@ -86,21 +86,21 @@
 
 
 @pytest.mark.parametrize("command", ["status", "history"])
-def test_a_command_without_any_control_names_the_next_step(command):
+def test_command_without_reachable_control_names_the_next_step(command):
     completed = _run(command, "--control", "127.0.0.1:1")
     assert completed.returncode == 4
     assert "LD2008" in completed.stderr
     assert "next:" in completed.stderr
 
 
-def test_missing_tls_files_are_a_coded_error(tmp_path):
+def test_missing_tls_files_are_reported_with_an_error_code(tmp_path):
     completed = _run("status", "--control", "127.0.0.1:1", "--tls", str(tmp_path))
     assert completed.returncode == 1
     assert "LD5004" in completed.stderr
 
 
 @pytest.mark.parametrize("name", ["embed_log", "embed_rollout", "embed_limits"])
-def test_embedding_programs_run(name):
+def test_embedding_examples_run(name):
     completed = subprocess.run(
         [sys.executable, str(ROOT / "examples" / f"{name}.py")], capture_output=True, text=True, check=False, timeout=60
     )
@@ -109,7 +109,7 @@
 
 
 def _make_certificates(folder: Path) -> dict:
-    """Make an authority and one certificate that it signs, with openssl."""
+    """Make a certificate authority and a certificate signed by it with openssl."""
     folder.mkdir()
 
     def openssl(*arguments: str) -> None:
@@ -125,8 +125,8 @@
     return {key: str(folder / name) for key, name in names.items()}
 
 
-def test_tls_traces_metrics_and_the_list_over_http(tmp_path):
-    """One mesh with everything that is off by default."""
+def test_tls_traces_metrics_and_http_platform_list_work_together(tmp_path):
+    """Enables all features that are off by default in one mesh."""
     tls = _make_certificates(tmp_path / "tls")
     with (
         socket.socket(socket.AF_INET, socket.SOCK_DGRAM) as sink,
@@ -157,7 +157,7 @@
 
 
 def _serve_folder(folder: Path):
-    """Serve a folder over HTTP, as a platform would its list; returns the process and its port."""
+    """Serve a folder over HTTP, as a platform serves its list; returns the process and its port."""
     line = [sys.executable, "-u", "-m", "http.server", "--bind", "127.0.0.1", "0", "--directory", str(folder)]
     process = subprocess.Popen(line, stdout=subprocess.PIPE, stderr=subprocess.DEVNULL, text=True)
     printed = process.stdout.readline()
--- a/tests/test_platform.py
+++ b/tests/test_platform.py
@@ -1,5 +1,5 @@
 # SPDX-License-Identifier: BSD-3-Clause
-"""The platform's program as real processes: seeds, direct rollout, registration, the path."""
+"""Tests of the platform program as real processes: seeds, direct rollout, registration and request path."""
 
 import json
 import signal
@@ -23,7 +23,7 @@
         processes.stop()
 
 
-def test_a_version_and_a_request_go_the_whole_way(platform):
+def test_version_is_distributed_and_request_reaches_an_upstream(platform):
     first = make_configuration(4, 0)
     assert platform.put(first) == 200
     got = platform.get()
@@ -38,7 +38,7 @@
     assert not [name for name in seen if name.startswith("x-lanedock")]
 
 
-def test_operators_who_race_resend_or_are_late(platform):
+def test_concurrent_resent_and_outdated_configurations_are_answered_consistently(platform):
     assert platform.put(make_configuration(4, 0)) == 200
     racing = [make_configuration(9, 4, timeoutS=1.1), make_configuration(9, 4, timeoutS=1.2)]
     with ThreadPoolExecutor(2) as pool:
@@ -51,7 +51,7 @@
     assert platform.get()["routes"][0]["timeoutS"] == winner["routes"][0]["timeoutS"]
 
 
-def test_what_was_accepted_survives_kills_of_all_control_instances(platform):
+def test_accepted_version_survives_kills_of_all_control_instances(platform):
     assert platform.put(make_configuration(4, 0)) == 200
     for ip in platform.controls:
         platform.processes[ip].kill()
@@ -64,7 +64,7 @@
 
 
 def _votes_as_new_incarnation(platform: PlatformProcesses, ip: str) -> bool:
-    """Tell whether a control instance votes under another incarnation than its first."""
+    """Return whether a control instance votes under a later incarnation than its first."""
     lines = (platform.folder / f"{ip}.log").read_text(encoding="utf-8").splitlines()
     changes = [json.loads(line) for line in lines if '"E206"' in line]
     name = f"{ip}:{MESH_PORT}"
@@ -72,10 +72,10 @@
     return any(voter.startswith(f"{name}@") and voter != f"{name}@1" for voter in voters)
 
 
-def test_a_lost_disk_comes_back_as_a_new_replica(platform):
+def test_control_instance_with_a_lost_disk_returns_as_a_new_replica(platform):
     assert platform.put(make_configuration(4, 0)) == 200
     lost = platform.controls[0]
-    # The other two are enough to accept a version; what hasn't started has no disk to lose.
+    # The other two can accept a version alone, so wait until this instance has started and has data to lose.
     wait_for(lambda: '"E101"' in (platform.folder / f"{lost}.log").read_text(encoding="utf-8"))
     platform.processes[lost].kill()
     platform.processes[lost].wait()
@@ -83,18 +83,18 @@
         path.unlink()
     platform.restart(lost)
     wait_for(lambda: _votes_as_new_incarnation(platform, lost))
-    # The others may now go, one at a time.
+    # With the replacement as a voter, one of the others may fail.
     platform.processes[platform.controls[1]].kill()
     assert platform.put(make_configuration(5, 4, timeoutS=1.1)) == 200
 
 
-def test_a_drain_binds_when_it_is_acknowledged_also_after_a_restart(platform):
+def test_acknowledged_drain_holds_even_after_a_daemon_restart(platform):
     assert platform.put(make_configuration(4, 0)) == 200
     platform.wait_all_ready()
     leaving, other = platform.daemons
     upstream = platform.applications[other].upstream
-    # A daemon is ready once it knows any upstream, which may be the one beside it; the other
-    # application may register later, and until then nothing else can take the requests.
+    # A daemon is ready once it knows any upstream, possibly only the local one; the requests can
+    # go elsewhere only once the other application has registered.
     wait_for(lambda: platform.request(leaving, "before")[1].get("x-server-stamp") == upstream)
     application = platform.applications[leaving]
     platform.draining = frozenset((application.upstream,))
@@ -103,7 +103,7 @@
     for number in range(10):
         answer = status, headers, _ = platform.request(leaving, f"drain-{number}")
         assert (status, headers.get("x-server-stamp")) == (200, upstream), str(answer)
-    # The daemon is killed, and a heartbeat from before the drain comes late.
+    # The daemon is killed, and delayed heartbeats from before the drain arrive.
     platform.draining = frozenset()
     platform.restart(leaving)
     platform.wait_ready(leaving)
@@ -112,7 +112,7 @@
     assert len(application.received_headers) == before
 
 
-def test_an_upstream_comes_back_after_a_planned_stop_of_its_daemon(platform):
+def test_upstream_receives_requests_again_after_a_planned_stop_of_its_daemon(platform):
     assert platform.put(make_configuration(4, 0)) == 200
     platform.wait_all_ready()
     stopped, other = platform.daemons
@@ -129,7 +129,7 @@
     wait_for(is_shared)
 
 
-def test_a_daemon_that_was_paused_shortly_serves_on_without_control(platform):
+def test_briefly_paused_daemon_keeps_serving_without_control_instances(platform):
     assert platform.put(make_configuration(4, 0)) == 200
     platform.wait_all_ready()
     for ip in platform.controls:
@@ -137,7 +137,7 @@
         platform.processes[ip].wait()
     paused = platform.processes[platform.daemons[0]]
     paused.send_signal(signal.SIGSTOP)
-    # Longer than a tick that is late on a slow instance, and within what counts as in touch.
+    # Longer than a delayed tick on a slow instance, and shorter than the contact limit of 3 s.
     time.sleep(1.5)
     paused.send_signal(signal.SIGCONT)
     answer = platform.request(platform.daemons[0], "id-paused")
@@ -145,7 +145,7 @@
 
 
 @pytest.mark.parametrize("is_daemon_restarted", [False, True])
-def test_an_application_that_drained_and_starts_again_under_its_id_gets_work(platform, is_daemon_restarted):
+def test_drained_application_that_restarts_under_its_id_receives_requests(platform, is_daemon_restarted):
     assert platform.put(make_configuration(4, 0)) == 200
     platform.wait_all_ready()
     crashed, other = platform.daemons
@@ -166,13 +166,13 @@
     wait_for(is_served_there)
 
 
-def test_heartbeats_of_another_writer_end_no_daemon(platform):
+def test_invalid_heartbeats_of_another_sender_do_not_crash_the_daemon(platform):
     assert platform.put(make_configuration(4, 0)) == 200
     platform.wait_all_ready()
     ip, other = platform.daemons
     upstream = platform.applications[ip].upstream
-    # A daemon is ready once it knows any upstream; until the application beside it has
-    # registered, nothing says that its heartbeats report its start.
+    # A daemon is ready once it knows any upstream. Only once the local application has registered does
+    # the daemon know that its heartbeats report a start time, which the last heartbeat below lacks.
     wait_for(lambda: platform.request(other, "before")[1].get("x-server-stamp") == upstream)
     bodies = [
         make_beat(sequence=10**6, slots=2**70),
--- a/tests/test_quarantine_command.py
+++ b/tests/test_quarantine_command.py
@@ -1,5 +1,5 @@
 # SPDX-License-Identifier: BSD-3-Clause
-"""Operators look at the requests that are quarantined, and clear one."""
+"""Tests of the command that lists quarantined requests and clears one."""
 
 import threading
 import time
@@ -21,18 +21,18 @@
 
 
 def _crash_all_applications_during_requests(mesh: LocalMesh) -> None:
-    """End all applications while one request runs on each of them."""
+    """Crash all applications while the same request runs on each of them."""
     callers = [threading.Thread(target=mesh.request, args=("GET", PATH, b"", number)) for number in range(12)]
     for caller in callers:
         caller.start()
-    # They work on a request for a second.
+    # Each request takes 1 s, so that all run at this time.
     time.sleep(0.5)
     mesh.stop_stand_ins()
     for caller in callers:
         caller.join()
 
 
-def test_a_request_is_listed_with_the_upstreams_that_ended_and_can_be_cleared(mesh, tmp_path):
+def test_quarantined_request_is_listed_with_its_crashes_and_can_be_cleared(mesh, tmp_path):
     operator = Operator(mesh, tmp_path)
     assert operator.apply(1)[0] == 0
     assert operator.run("quarantine") == (0, {"requests": [], "cleared": False})
--- a/tests/test_soak.py
+++ b/tests/test_soak.py
@@ -1,5 +1,5 @@
 # SPDX-License-Identifier: BSD-3-Clause
-"""A short soak; longer ones are run by hand (see `soak.py`)."""
+"""Short soak test; longer ones are run by hand (see `soak.py`)."""
 
 import pytest
 from soak import Soak
@@ -8,5 +8,5 @@
 
 
 @pytest.mark.parametrize("seed", [1, 2])
-def test_nothing_is_broken_by_faults_that_overlap(tmp_path, seed):
+def test_overlapping_faults_violate_no_requirement(tmp_path, seed):
     assert Soak(tmp_path, seed).run(SECONDS) == []
--- a/tests/test_suspension.py
+++ b/tests/test_suspension.py
@@ -1,8 +1,8 @@
 # SPDX-License-Identifier: BSD-3-Clause
-"""Machines that are suspended for seconds, which the steady clock does not count.
+"""Tests of machines that are suspended for seconds, which the monotonic clock does not count.
 
-The processes are stopped by a signal, with clocks as a suspended machine has them (see
-`hooks/suspendable_clocks.py`).
+The processes are stopped by a signal, and their clocks are patched to behave as on a suspended machine
+(see `hooks/suspendable_clocks.py`).
 """
 
 import os
@@ -17,7 +17,7 @@
 
 from lanedock_platform.tests.test_translation import make_configuration
 
-# Longer than a daemon may be out of touch and serve on (3 s).
+# Seconds; longer than a daemon may serve without contact to a control instance (3 s).
 SUSPENDED = 4.0
 REQUEST = (
     b"POST /a/b/x HTTP/1.1\r\nHost: shop.example\r\nX-Request-Id: id-1\r\n"
@@ -39,7 +39,7 @@
 
 @contextmanager
 def _suspended(process):
-    """Have a process suspended meanwhile."""
+    """Suspend a process within the context."""
     process.send_signal(signal.SIGSTOP)
     os.waitid(os.P_PID, process.pid, os.WSTOPPED | os.WNOWAIT)
     try:
@@ -49,7 +49,7 @@
 
 
 def _send_while_suspended(process, address: tuple[str, int], request: bytes, meanwhile=lambda: None) -> bytes:
-    """Send a request to a process while it is suspended; it finds the request as it resumes."""
+    """Send a request to a suspended process, which reads it when it resumes; returns the response."""
     with _suspended(process):
         meanwhile()
         time.sleep(SUSPENDED)
@@ -59,8 +59,8 @@
         return _read_all(conn)
 
 
-def test_a_daemon_that_was_suspended_serves_by_no_version_that_may_be_old(platform):
-    """What it holds may have been replaced meanwhile, and nobody is there who would say so."""
+def test_resumed_daemon_serves_no_version_that_may_be_outdated(platform):
+    """Its version may have been replaced during the suspension, and no control instance can confirm it."""
     for ip in platform.controls:
         platform.processes[ip].kill()
         platform.processes[ip].wait()
@@ -69,7 +69,7 @@
     assert answer.startswith(b"HTTP/1.1 503"), answer
 
 
-def test_a_daemon_that_was_suspended_serves_again_once_its_version_is_confirmed(platform):
+def test_resumed_daemon_serves_again_once_its_version_is_confirmed(platform):
     ip = platform.daemons[0]
     with _suspended(platform.processes[ip]):
         time.sleep(SUSPENDED)
@@ -77,8 +77,8 @@
     assert platform.request(ip, "id-2")[0] == 200
 
 
-def test_a_control_instance_that_was_suspended_answers_no_read_with_an_older_version(platform):
-    """Each of them in turn, so that the leader is among them; the others go on without it."""
+def test_resumed_control_instance_returns_no_outdated_version(platform):
+    """Suspends each control instance in turn, so that the leader is included; the others continue."""
     for number, ip in enumerate(platform.controls):
         version = make_configuration(5 + number, 4 + number)
         others = [other for other in platform.controls if other != ip]
--- a/tests/test_versions.py
+++ b/tests/test_versions.py
@@ -1,5 +1,5 @@
 # SPDX-License-Identifier: BSD-3-Clause
-"""A version's life with real processes: races, resends, cuts, kills, lost disks."""
+"""Tests of version changes with real processes: races, resends, isolated zones, kills and lost disks."""
 
 import asyncio
 import hashlib
@@ -18,7 +18,7 @@
 
 
 def _set_deadline(milliseconds: int):
-    """Return a change that makes another content."""
+    """Return a change that sets a route deadline, so that the content differs."""
 
     def change(value: dict) -> None:
         value["routes"][0]["deadline_ms"] = milliseconds
@@ -27,7 +27,7 @@
 
 
 def _add_distinct_routes(value: dict) -> None:
-    """Add routes that no other version has: an entry of the log holds what has changed."""
+    """Add 300 routes that no other version has, because a log entry holds only the changes."""
     for number in range(300):
         path = hashlib.sha256(f"{value['version']}/{number}".encode()).hexdigest()
         value["routes"].append({**value["routes"][0], "name": f"other-{number}", "path": f"/{path}"})
@@ -44,13 +44,13 @@
 
 
 def _read_events(process, event: str) -> list[dict]:
-    """Return a process's log lines of one event."""
+    """Return the log lines of a process with an event code."""
     lines = [json.loads(line) for line in process.log().splitlines() if line.startswith("{")]
     return [line for line in lines if line["event"] == event]
 
 
 def _read_used_versions(process) -> list[int]:
-    """Return the versions that a daemon has used, in order."""
+    """Return the versions that a daemon has put in force, in order."""
     return [line["version"] for line in _read_events(process, "E304")]
 
 
@@ -72,7 +72,7 @@
     operator.mesh.wait_for(lambda: len(_read_status(operator)["daemons"]) == count, f"{count} daemons are connected")
 
 
-def test_answers_to_operators_who_race_resend_and_come_late(operator):
+def test_concurrent_resent_and_outdated_versions_are_answered_consistently(operator):
     assert operator.apply(5)[0] == EXIT_APPLIED
     first = operator.run("history")[1]
     assert operator.apply(5)[1]["answer"] == "applied"
@@ -104,7 +104,7 @@
     assert {item["path"] for item in differences} == {"version", "routes/checklist-lookup/deadline_ms"}
 
 
-def test_a_frozen_daemon_blocks_a_dead_one_does_not_and_catches_up(operator):
+def test_frozen_daemon_blocks_versions_and_killed_daemon_does_not_and_catches_up(operator):
     mesh = operator.mesh
     assert operator.apply(1)[0] == EXIT_APPLIED
     frozen, dead = mesh.upstreams["checklists-1"], mesh.upstreams["checklists-0"]
@@ -114,9 +114,9 @@
     assert (code, answer["code"]) == (EXIT_NOT_RUN, "LD2005")
     assert ["checklists-1" in item["message"] for item in answer["findings"]] == [True]
     assert _read_versions_in_force(operator) == {1}
-    # Its zone can tell that a killed one holds no rules in force. Until both
-    # witnesses have confirmed that, two to three seconds after, versions wait for it,
-    # and those whose time to stage is over before are not run.
+    # The zone of a killed daemon can confirm that the daemon has no version in force. Until both
+    # witnesses have confirmed it, two to three seconds after the kill, versions wait for the daemon,
+    # and versions whose staging time expires before that are not run.
     dead.kill()
     first = 3
     while (result := operator.apply(first))[0] == EXIT_NOT_RUN:
@@ -134,7 +134,7 @@
     assert not set(range(first, 14)) & set(_read_used_versions(dead))
 
 
-def test_a_leader_killed_while_a_version_is_staged_leaves_one_outcome(operator):
+def test_leader_killed_during_staging_leaves_a_single_outcome(operator):
     mesh = operator.mesh
     assert operator.apply(1)[0] == EXIT_APPLIED
     frozen = mesh.upstreams["sightings-1"]
@@ -158,12 +158,12 @@
     assert operator.apply(2)[1]["answer"] == same["answer"]
 
 
-def test_a_leader_frozen_in_silence_is_followed_by_another_and_nothing_goes_back(operator):
+def test_frozen_leader_is_replaced_and_no_daemon_returns_to_an_older_version(operator):
     mesh = operator.mesh
     assert operator.apply(1)[0] == EXIT_APPLIED
     old = _find_leader(operator)
     old.popen.send_signal(signal.SIGSTOP)
-    # Its daemons move to other sources before everybody can be reached.
+    # The daemons of the old leader have to move to other sources before all can be reached.
     number = 1
 
     def try_next() -> bool:
@@ -181,7 +181,7 @@
         assert versions[-1] == number + 1
 
 
-def test_a_zone_cut_off_blocks_unless_the_operator_names_it(operator):
+def test_isolated_zone_blocks_versions_unless_the_operator_allows_it(operator):
     mesh = operator.mesh
     assert operator.apply(1)[0] == EXIT_APPLIED
     away = "nbo-b" if _find_leader(operator).settings["zone"] == "nbo-c" else "nbo-c"
@@ -201,7 +201,7 @@
     )
 
 
-def test_without_a_quorum_a_restarted_daemon_waits_and_the_others_serve(operator):
+def test_without_quorum_restarted_daemon_waits_and_others_serve(operator):
     mesh = operator.mesh
     assert operator.apply(1)[0] == EXIT_APPLIED
     names = list(mesh.controls)
@@ -222,7 +222,7 @@
     assert operator.apply(2)[0] in (EXIT_APPLIED, EXIT_NOT_RUN)
 
 
-def test_a_lost_disk_is_replaced_and_a_second_loss_right_after_loses_nothing(operator):
+def test_accepted_version_survives_the_loss_of_two_disks_in_succession(operator):
     mesh = operator.mesh
     assert operator.apply(1)[0] == EXIT_APPLIED
     first, second = [process for process in mesh.controls.values() if process is not _find_leader(operator)]
@@ -233,14 +233,14 @@
         mesh.wait_for(lambda process=lost: _is_voter(mesh, process), f"{lost.name} votes again", timeout=60)
     history = operator.run("history")[1]
     assert [(item["version"], item["outcome"]) for item in history] == [(1, "accepted")]
-    # Only the two new ones are left: they hold what was accepted.
+    # Only the two replaced replicas remain; they hold the accepted version.
     _find_leader(operator).kill()
     mesh.wait_for(lambda: _read_confirmed_version(operator) == 1, "the new ones lead", timeout=60)
     assert [item["version"] for item in operator.run("history")[1]] == [1]
 
 
 def _is_voter(mesh, process) -> bool:
-    """Tell whether a replica's newest incarnation is a voter by another's log."""
+    """Return whether the newest incarnation of a replica is a voter according to its log."""
     identity = Path(process.settings["control"]["data_folder"]) / "identity"
     if not identity.exists():
         return False
@@ -254,7 +254,7 @@
     return status["accepted_version"] if code == 0 and status["confirmed"] else 0
 
 
-def test_a_herd_that_dies_comes_back_with_what_was_accepted(operator):
+def test_killed_processes_return_with_the_accepted_version(operator):
     mesh = operator.mesh
     assert operator.apply(3)[0] == EXIT_APPLIED
     daemons = [*mesh.entries.values(), *mesh.upstreams.values()]
@@ -265,7 +265,7 @@
     _wait_connected(operator, 9)
     mesh.wait_for(lambda: _read_versions_in_force(operator) == {3}, "all hold version 3 again")
     assert mesh.request("POST", "/sightings", b"x")[0] == 200
-    # Everything dies together, control as well.
+    # All processes are killed together, including the control instances.
     for process in mesh.processes:
         process.kill()
     for process in mesh.processes:
@@ -280,7 +280,7 @@
     assert operator.apply(4)[0] == EXIT_APPLIED
 
 
-def test_a_daemon_that_missed_300_versions_jumps_to_the_newest(operator):
+def test_daemon_that_missed_300_versions_skips_to_the_newest(operator):
     mesh = operator.mesh
     assert operator.apply(1)[0] == EXIT_APPLIED
     dead = mesh.upstreams["media-0"]
@@ -298,16 +298,16 @@
     assert _read_used_versions(dead) == [1, 302]
 
 
-def test_a_full_disk_takes_its_replica_out_and_nothing_else(operator):
+def test_full_disk_stops_only_its_own_replica(operator):
     mesh = operator.mesh
-    # The limit below holds for the process's own messages, too, so the log has
-    # to be longer than those by far.
+    # The size limit below applies to the log messages of the process, too, so the data log has to be
+    # much longer than these.
     for number in range(1, 11):
         assert operator.apply(number, _add_distinct_routes)[0] == EXIT_APPLIED
     full = next(process for process in mesh.controls.values() if process is not _find_leader(operator))
     size = (Path(full.settings["control"]["data_folder"]) / "log").stat().st_size
     assert size > 5 * full.log_path.stat().st_size
-    # What the file may not grow by, the disk has no room for.
+    # The limit on the file size simulates a full disk.
     resource.prlimit(full.popen.pid, resource.RLIMIT_FSIZE, (size + 10, size + 10))
 
     def try_next() -> bool:
@@ -320,14 +320,14 @@
     assert "Traceback" not in full.log()
     assert operator.apply(number + 1)[0] == EXIT_APPLIED
     assert _read_versions_in_force(operator) == {number + 1}
-    # With room again it is started anew, with what it had synced.
+    # Restarted without the limit, the replica continues from its synced log.
     full.kill()
     full.start()
     mesh.wait_for(lambda: all(item["reachable"] for item in _read_status(operator)["replicas"]), "it takes part again")
     assert operator.apply(number + 2)[0] == EXIT_APPLIED
 
 
-def test_a_bit_gone_bad_keeps_a_replica_from_starting(operator):
+def test_replica_with_a_flipped_bit_in_its_log_does_not_start(operator):
     mesh = operator.mesh
     assert operator.apply(1)[0] == EXIT_APPLIED
     bad = next(process for process in mesh.controls.values() if process is not _find_leader(operator))
--- a/tests/test_whole_path.py
+++ b/tests/test_whole_path.py
@@ -1,10 +1,10 @@
 # SPDX-License-Identifier: BSD-3-Clause
-"""The whole path with real processes."""
+"""End-to-end test with real processes, from applying a configuration to serving requests."""
 
 import json
 
 
-def test_one_file_is_applied_and_requests_are_served(mesh, operator):
+def test_configuration_is_applied_and_requests_are_served(mesh, operator):
     assert mesh.request("GET", "/checklists/1")[0] == 503
     code, answer = operator.apply(1)
     assert (code, answer["answer"]) == (0, "applied")
