--- a/tests/platform_processes.py
+++ b/tests/platform_processes.py
@@ -1,5 +1,5 @@
 # SPDX-License-Identifier: BSD-3-Clause
-"""Runs the platform program as real processes, with a simulated backend beside each daemon.
+"""Runs the platform program as real processes, with a simulated backend for each daemon.
 
 All instances use the same ports, so each has its own loopback address. Each platform uses its own
 loopback network, so that concurrent test runs on a machine do not collide.
@@ -128,7 +128,7 @@
 
 
 class PlatformProcesses:
-    """Three control instances, and daemons with a backend beside each.
+    """Three control instances, and daemons with one backend each.
 
     Parameters
     ----------
@@ -166,7 +166,7 @@
         self.wait_all_ready()
 
     def make_application(self, ip: str, number: int):
-        """Start the backend beside a daemon."""
+        """Start the backend of a daemon."""
         return Application(ip, f"i-{number}")
 
     def add_upstreams(self, count: int, version: str, is_failing: bool = False) -> list[str]:
--- a/tests/test_load.py
+++ b/tests/test_load.py
@@ -48,7 +48,9 @@
     def wait_for_more(self, count: int) -> None:
         """Wait until `count` more submissions are answered."""
         target = Counter(self.outcomes.values())["answered"] + count
-        self.mesh.wait_for(lambda: Counter(self.outcomes.values())["answered"] >= target, "submissions go on")
+        self.mesh.wait_for(
+            lambda: Counter(self.outcomes.values())["answered"] >= target, f"{count} more submissions are answered"
+        )
 
     def stop(self) -> Counter:
         """Stop the threads; returns the number of submissions with each outcome."""
@@ -100,7 +102,8 @@
         # The restarted upstream serves requests before the other one stops.
         before = _count_total_executions(mesh, process.name)
         mesh.wait_for(
-            lambda name=process.name, count=before: _count_total_executions(mesh, name) > count, "it serves again"
+            lambda name=process.name, count=before: _count_total_executions(mesh, name) > count,
+            f"{process.name} serves again",
         )
     outcomes = _check_outcomes(submitters)
     assert not outcomes["cut"] and not outcomes["unknown"], outcomes
--- a/tests/test_memory.py
+++ b/tests/test_memory.py
@@ -4,7 +4,7 @@
 A daemon runs in the slot of each upstream and may take 32 MB; 36 MB were resident. Of these, 3.6 MB were
 the OpenSSL library, loaded for a faster SHA-256; 2 MB were a thread with its own heap that resolved
 addresses which are already numeric; and 1.3 MB were modules that read archives, loaded to find a file
-beside the program.
+next to the program.
 """
 
 from pathlib import Path
--- a/tests/test_versions.py
+++ b/tests/test_versions.py
@@ -107,7 +107,7 @@
 def test_frozen_daemon_blocks_versions_and_killed_daemon_does_not_and_catches_up(operator):
     mesh = operator.mesh
     assert operator.apply(1)[0] == EXIT_APPLIED
-    frozen, dead = mesh.upstreams["checklists-1"], mesh.upstreams["checklists-0"]
+    frozen, killed = mesh.upstreams["checklists-1"], mesh.upstreams["checklists-0"]
     frozen.popen.send_signal(signal.SIGSTOP)
     code, answer = operator.apply(2)
     frozen.popen.send_signal(signal.SIGCONT)
@@ -117,7 +117,7 @@
     # The zone of a killed daemon can confirm that the daemon has no version in force. Until both
     # witnesses have confirmed it, two to three seconds after the kill, versions wait for the daemon,
     # and versions whose staging time expires before that are not run.
-    dead.kill()
+    killed.kill()
     first = 3
     while (result := operator.apply(first))[0] == EXIT_NOT_RUN:
         assert result[1]["code"] == "LD2005"
@@ -127,11 +127,11 @@
     for number in range(first + 1, 15):
         code, answer = operator.apply(number)
         assert (code, answer["required"]) == (EXIT_APPLIED, 8)
-    dead.start()
+    killed.start()
     _wait_connected(operator, 9)
-    mesh.wait_for(lambda: _read_versions_in_force(operator) == {14}, "the daemon jumps to the newest")
-    assert 14 in _read_used_versions(dead)
-    assert not set(range(first, 14)) & set(_read_used_versions(dead))
+    mesh.wait_for(lambda: _read_versions_in_force(operator) == {14}, "the daemon has skipped to the newest version")
+    assert 14 in _read_used_versions(killed)
+    assert not set(range(first, 14)) & set(_read_used_versions(killed))
 
 
 def test_leader_killed_during_staging_leaves_a_single_outcome(operator):
@@ -150,10 +150,10 @@
     assert again in (EXIT_APPLIED, EXIT_NOT_RUN)
     assert code in (again, EXIT_NOT_KNOWN)
     expected = 2 if again == EXIT_APPLIED else 1
-    mesh.wait_for(lambda: _read_versions_in_force(operator) == {expected}, "everybody agrees")
+    mesh.wait_for(lambda: _read_versions_in_force(operator) == {expected}, "all daemons have the same version in force")
     killed.start()
     mesh.wait_for(
-        lambda: all(item["reachable"] for item in _read_status(operator)["replicas"]), "all replicas are back"
+        lambda: all(item["reachable"] for item in _read_status(operator)["replicas"]), "all replicas are reachable"
     )
     assert operator.apply(2)[1]["answer"] == same["answer"]
 
@@ -171,9 +171,11 @@
         number += 1
         return operator.apply(number)[0] == EXIT_APPLIED
 
-    mesh.wait_for(try_next, "a version passes under another leader", timeout=60)
+    mesh.wait_for(try_next, "a version is applied under another leader", timeout=60)
     old.popen.send_signal(signal.SIGCONT)
-    mesh.wait_for(lambda: all(item["reachable"] for item in _read_status(operator)["replicas"]), "the old one is back")
+    mesh.wait_for(
+        lambda: all(item["reachable"] for item in _read_status(operator)["replicas"]), "the former leader is reachable"
+    )
     assert operator.apply(number + 1)[0] == EXIT_APPLIED
     for process in [*mesh.entries.values(), *mesh.upstreams.values()]:
         versions = _read_used_versions(process)
@@ -184,20 +186,20 @@
 def test_isolated_zone_blocks_versions_unless_the_operator_allows_it(operator):
     mesh = operator.mesh
     assert operator.apply(1)[0] == EXIT_APPLIED
-    away = "nbo-b" if _find_leader(operator).settings["zone"] == "nbo-c" else "nbo-c"
-    cut = _find_processes(mesh, away)
-    _send_signal(cut, signal.SIGSTOP)
+    isolated_zone = "nbo-b" if _find_leader(operator).settings["zone"] == "nbo-c" else "nbo-c"
+    isolated = _find_processes(mesh, isolated_zone)
+    _send_signal(isolated, signal.SIGSTOP)
     code, answer = operator.apply(2)
     assert code == EXIT_NOT_RUN
-    assert all(away in item["message"] for item in answer["findings"])
-    code, answer = operator.apply(3, None, "--allow-cut-off", away)
+    assert all(isolated_zone in item["message"] for item in answer["findings"])
+    code, answer = operator.apply(3, None, "--allow-cut-off", isolated_zone)
     assert code == EXIT_ACCEPTED
-    names = {process.name for process in cut if "control" not in process.settings}
+    names = {process.name for process in isolated if "control" not in process.settings}
     assert set(answer["lagging"]) == names
-    _send_signal(cut, signal.SIGCONT)
+    _send_signal(isolated, signal.SIGCONT)
     mesh.wait_for(
         lambda: _read_versions_in_force(operator) == {3} and len(_read_status(operator)["daemons"]) == 9,
-        "the zone catches up",
+        "the zone has version 3 in force",
     )
 
 
@@ -218,7 +220,7 @@
     assert mesh.request("GET", "/checklists/1", entry=0)[0] == 503
     for name in names[1:]:
         mesh.controls[name].start()
-    mesh.wait_for(lambda: mesh.request("GET", "/checklists/1", entry=0)[0] == 200, "the restarted one serves again")
+    mesh.wait_for(lambda: mesh.request("GET", "/checklists/1", entry=0)[0] == 200, "the restarted daemon serves again")
     assert operator.apply(2)[0] in (EXIT_APPLIED, EXIT_NOT_RUN)
 
 
@@ -235,7 +237,7 @@
     assert [(item["version"], item["outcome"]) for item in history] == [(1, "accepted")]
     # Only the two replaced replicas remain; they hold the accepted version.
     _find_leader(operator).kill()
-    mesh.wait_for(lambda: _read_confirmed_version(operator) == 1, "the new ones lead", timeout=60)
+    mesh.wait_for(lambda: _read_confirmed_version(operator) == 1, "a replaced replica leads", timeout=60)
     assert [item["version"] for item in operator.run("history")[1]] == [1]
 
 
@@ -263,7 +265,7 @@
     for process in daemons:
         process.start()
     _wait_connected(operator, 9)
-    mesh.wait_for(lambda: _read_versions_in_force(operator) == {3}, "all hold version 3 again")
+    mesh.wait_for(lambda: _read_versions_in_force(operator) == {3}, "all daemons have version 3 in force")
     assert mesh.request("POST", "/sightings", b"x")[0] == 200
     # All processes are killed together, including the control instances.
     for process in mesh.processes:
@@ -274,7 +276,7 @@
         mesh.wait_listening(process)
     mesh.wait_for(
         lambda: _read_confirmed_version(operator) == 3 and _read_versions_in_force(operator) == {3},
-        "all are back",
+        "all processes have version 3 in force",
         timeout=60,
     )
     assert operator.apply(4)[0] == EXIT_APPLIED
@@ -283,8 +285,8 @@
 def test_daemon_that_missed_300_versions_skips_to_the_newest(operator):
     mesh = operator.mesh
     assert operator.apply(1)[0] == EXIT_APPLIED
-    dead = mesh.upstreams["media-0"]
-    dead.kill()
+    killed = mesh.upstreams["media-0"]
+    killed.kill()
     assert operator.apply(2)[0] == EXIT_APPLIED
     client = ControlClient([Address.parse(text) for text in mesh.control_addresses.split(",")], None, 20.0)
     for number in range(3, 303):
@@ -292,10 +294,10 @@
         request = messages.SubmitRequest(version=number, content=content)
         reply = asyncio.run(client.submit(request, lambda progress: None))
         assert reply.answer == messages.ANSWER_APPLIED
-    dead.start()
+    killed.start()
     _wait_connected(operator, 9)
-    mesh.wait_for(lambda: _read_versions_in_force(operator) == {302}, "the daemon jumps to the newest")
-    assert _read_used_versions(dead) == [1, 302]
+    mesh.wait_for(lambda: _read_versions_in_force(operator) == {302}, "the daemon has skipped to the newest version")
+    assert _read_used_versions(killed) == [1, 302]
 
 
 def test_full_disk_stops_only_its_own_replica(operator):
@@ -315,7 +317,7 @@
         number += 1
         return operator.apply(number)[0] == EXIT_APPLIED
 
-    mesh.wait_for(try_next, "a version passes without the replica", timeout=60)
+    mesh.wait_for(try_next, "a version is applied without the replica", timeout=60)
     assert _read_events(full, "E204")
     assert "Traceback" not in full.log()
     assert operator.apply(number + 1)[0] == EXIT_APPLIED
@@ -323,7 +325,9 @@
     # Restarted without the limit, the replica continues from its synced log.
     full.kill()
     full.start()
-    mesh.wait_for(lambda: all(item["reachable"] for item in _read_status(operator)["replicas"]), "it takes part again")
+    mesh.wait_for(
+        lambda: all(item["reachable"] for item in _read_status(operator)["replicas"]), "all replicas are reachable"
+    )
     assert operator.apply(number + 2)[0] == EXIT_APPLIED
 
 
