--- a/tests/test_documents.py
+++ b/tests/test_documents.py
@@ -1,5 +1,5 @@
 # SPDX-License-Identifier: BSD-3-Clause
-"""Tests that documents and code agree, and that imports keep their directions."""
+"""Tests that documents match the code, and that subpackages import only what they may."""
 
 import ast
 import subprocess
@@ -14,9 +14,8 @@
 ROOT = Path(__file__).parent.parent
 LIBRARY = ROOT / "packages" / "lanedock" / "lanedock"
 
-# What each subpackage of the library may import of it. docs/architecture.md
-# draws the same.
-ALLOWED = {
+# Subpackages of the library that each subpackage may import; docs/architecture.md shows the same.
+ALLOWED_IMPORTS = {
     "averages": set(),
     "canary": {"errors", "membership", "wire"},
     "clock": set(),
@@ -35,11 +34,11 @@
     "testing": set(),
     "wire": set(),
 }
-# Only the command line may need these: the daemon's memory is budgeted.
+# Packages that only the command line may import, because the memory of the daemon is budgeted.
 COMMAND_LINE_ONLY = {"typer", "rich", "lanedock_cli"}
 
 
-def _imports(path: Path) -> set[str]:
+def _find_imported_names(path: Path) -> set[str]:
     names = set()
     for node in ast.walk(ast.parse(path.read_text(encoding="utf-8"))):
         if isinstance(node, ast.Import):
@@ -49,41 +48,41 @@
     return names
 
 
-def _topic(path: Path) -> str:
+def _find_subpackage(path: Path) -> str:
     return path.relative_to(LIBRARY).parts[0].removesuffix(".py")
 
 
-def test_pages_made_from_the_code_are_current():
-    done = subprocess.run(
+def test_generated_pages_are_up_to_date():
+    completed = subprocess.run(
         [sys.executable, "tools/make_docs.py", "--check"], cwd=ROOT, capture_output=True, text=True, check=False
     )
-    assert done.returncode == 0, done.stdout + done.stderr
+    assert completed.returncode == 0, completed.stdout + completed.stderr
 
 
-@pytest.mark.parametrize("topic", sorted(ALLOWED))
-def test_subpackages_import_only_what_they_may(topic):
-    paths = [path for path in LIBRARY.rglob("*.py") if _topic(path) == topic and "tests" not in path.parts]
+@pytest.mark.parametrize("topic", sorted(ALLOWED_IMPORTS))
+def test_subpackages_import_only_allowed_subpackages(topic):
+    paths = [path for path in LIBRARY.rglob("*.py") if _find_subpackage(path) == topic and "tests" not in path.parts]
     assert paths
     for path in paths:
-        for name in _imports(path):
+        for name in _find_imported_names(path):
             package, _, rest = name.partition(".")
             assert package != "lanedock_daemon" and package not in COMMAND_LINE_ONLY, path
             if package == "lanedock" and rest:
-                assert rest.split(".")[0] in ALLOWED[topic] | {topic}, path
+                assert rest.split(".")[0] in ALLOWED_IMPORTS[topic] | {topic}, path
 
 
-def test_every_code_event_and_metric_is_used():
+def test_every_error_code_event_and_metric_is_used():
     code = "".join(path.read_text(encoding="utf-8") for path in (ROOT / "packages").rglob("*.py"))
     for kind in (ErrorCode, Event, Metric):
         for member in kind:
             assert f"{kind.__name__}.{member.name}" in code, f"{kind.__name__}.{member.name} is used nowhere"
 
 
-def test_every_subpackage_has_its_rule():
-    topics = {_topic(path) for path in LIBRARY.rglob("*.py")} - {"__init__"}
-    assert topics == set(ALLOWED)
+def test_every_subpackage_has_an_import_rule():
+    subpackages = {_find_subpackage(path) for path in LIBRARY.rglob("*.py")} - {"__init__"}
+    assert subpackages == set(ALLOWED_IMPORTS)
 
 
-def test_the_daemon_does_not_import_what_only_the_command_line_needs():
+def test_daemon_does_not_import_command_line_packages():
     for path in (ROOT / "packages" / "lanedock-daemon").rglob("*.py"):
-        assert not {name.partition(".")[0] for name in _imports(path)} & COMMAND_LINE_ONLY, path
+        assert not {name.partition(".")[0] for name in _find_imported_names(path)} & COMMAND_LINE_ONLY, path
--- a/tests/test_known_red.py
+++ b/tests/test_known_red.py
@@ -1,5 +1,5 @@
 # SPDX-License-Identifier: BSD-3-Clause
-"""Tests of the list of tests that are known to fail."""
+"""Tests of KNOWN-RED.txt, the list of tests that are expected to fail."""
 
 import shutil
 import subprocess
@@ -11,15 +11,15 @@
 ROOT = Path(__file__).parent.parent
 
 
-def _listed() -> list[list[str]]:
+def _read_entries() -> list[list[str]]:
     path = ROOT / "KNOWN-RED.txt"
     text = path.read_text(encoding="utf-8") if path.exists() else ""
     lines = [line for line in text.splitlines() if line.strip() and not line.startswith("#")]
     return [[part.strip() for part in line.split("|")] for line in lines]
 
 
-def test_each_entry_names_a_test_that_is_there_with_command_finding_and_issue():
-    for test, command, seen, issue in _listed():
+def test_each_entry_names_an_existing_test_with_command_finding_and_issue():
+    for test, command, seen, issue in _read_entries():
         file, _, name = test.partition("::")
         assert f"def {name}(" in (ROOT / file).read_text(encoding="utf-8")
         assert command
@@ -36,7 +36,7 @@
         (False, 1, 0, "1 passed"),
     ],
 )
-def test_a_listed_test_has_to_fail(tmp_path, listed, value, code, shown):
+def test_listed_test_must_fail_and_unlisted_test_must_pass(tmp_path, listed, value, code, shown):
     shutil.copy(ROOT / "conftest.py", tmp_path)
     (tmp_path / "pyproject.toml").write_text("[tool.pytest.ini_options]\n", encoding="utf-8")
     (tmp_path / "packages").mkdir()
@@ -49,6 +49,6 @@
             "packages/test_it.py::test_one | a command | because | issue 1\n", encoding="utf-8"
         )
     line = [sys.executable, "-m", "pytest", "-p", "no:cacheprovider", "packages"]
-    done = subprocess.run(line, cwd=tmp_path, capture_output=True, text=True, check=False, timeout=60)
-    assert done.returncode == code, done.stdout
-    assert shown in done.stdout
+    completed = subprocess.run(line, cwd=tmp_path, capture_output=True, text=True, check=False, timeout=60)
+    assert completed.returncode == code, completed.stdout
+    assert shown in completed.stdout
--- a/tests/test_versions.py
+++ b/tests/test_versions.py
@@ -1,5 +1,5 @@
 # SPDX-License-Identifier: BSD-3-Clause
-"""A version's life with real processes: races, resends, cuts, kills, lost disks."""
+"""Tests of version changes with real processes: races, resends, isolated zones, kills and lost disks."""
 
 import asyncio
 import hashlib
@@ -17,8 +17,8 @@
 EXIT_APPLIED, EXIT_FINDINGS, EXIT_NOT_RUN, EXIT_NOT_KNOWN, EXIT_ACCEPTED = 0, 2, 3, 4, 5
 
 
-def _deadline(milliseconds: int):
-    """Return a change that makes another content."""
+def _set_deadline(milliseconds: int):
+    """Return a change that sets a route deadline, so that the content differs."""
 
     def change(value: dict) -> None:
         value["routes"][0]["deadline_ms"] = milliseconds
@@ -26,66 +26,66 @@
     return change
 
 
-def _other_routes(value: dict) -> None:
-    """Add routes that no other version has: an entry of the log holds what has changed."""
+def _add_distinct_routes(value: dict) -> None:
+    """Add 300 routes that no other version has, because a log entry holds only the changes."""
     for number in range(300):
         path = hashlib.sha256(f"{value['version']}/{number}".encode()).hexdigest()
         value["routes"].append({**value["routes"][0], "name": f"other-{number}", "path": f"/{path}"})
 
 
-def _status(operator) -> dict:
+def _read_status(operator) -> dict:
     code, status = operator.run("status")
     assert code == 0
     return status
 
 
-def _in_force(operator) -> set[int]:
-    return {item["in_force"] for item in _status(operator)["daemons"]}
+def _read_versions_in_force(operator) -> set[int]:
+    return {item["in_force"] for item in _read_status(operator)["daemons"]}
 
 
-def _lines(process, event: str) -> list[dict]:
-    """Return a process's log lines of one event."""
+def _read_events(process, event: str) -> list[dict]:
+    """Return the log lines of a process with an event code."""
     lines = [json.loads(line) for line in process.log().splitlines() if line.startswith("{")]
     return [line for line in lines if line["event"] == event]
 
 
-def _versions(process) -> list[int]:
-    """Return the versions that a daemon has used, in order."""
-    return [line["version"] for line in _lines(process, "E304")]
+def _read_used_versions(process) -> list[int]:
+    """Return the versions that a daemon has put in force, in order."""
+    return [line["version"] for line in _read_events(process, "E304")]
 
 
-def _leader(operator):
-    (name,) = [item["replica"] for item in _status(operator)["replicas"] if item["leader"]]
+def _find_leader(operator):
+    (name,) = [item["replica"] for item in _read_status(operator)["replicas"] if item["leader"]]
     return operator.mesh.controls[name]
 
 
-def _zone(mesh, zone: str) -> list:
+def _find_processes(mesh, zone: str) -> list:
     return [process for process in mesh.processes if process.settings["zone"] == zone]
 
 
-def _send(processes, number) -> None:
+def _send_signal(processes, number) -> None:
     for process in processes:
         process.popen.send_signal(number)
 
 
 def _wait_connected(operator, count: int) -> None:
-    operator.mesh.wait_for(lambda: len(_status(operator)["daemons"]) == count, f"{count} daemons are connected")
+    operator.mesh.wait_for(lambda: len(_read_status(operator)["daemons"]) == count, f"{count} daemons are connected")
 
 
-def test_answers_to_operators_who_race_resend_and_come_late(operator):
+def test_concurrent_resent_and_outdated_versions_are_answered_consistently(operator):
     assert operator.apply(5)[0] == EXIT_APPLIED
     first = operator.run("history")[1]
     assert operator.apply(5)[1]["answer"] == "applied"
     assert operator.run("history")[1] == first
 
-    code, answer = operator.apply(5, _deadline(1))
+    code, answer = operator.apply(5, _set_deadline(1))
     assert (code, answer["code"]) == (EXIT_NOT_RUN, "LD2002")
     code, answer = operator.apply(4)
     assert (code, answer["code"]) == (EXIT_NOT_RUN, "LD2001")
 
     files = []
     for number in range(4):
-        path = operator.write(6, _deadline(100 + number))
+        path = operator.write(6, _set_deadline(100 + number))
         files.append(path.rename(path.with_name(f"race{number}.jsonc")))
     with ThreadPoolExecutor(4) as pool:
         results = list(pool.map(lambda path: operator.run("apply", str(path)), files))
@@ -93,8 +93,8 @@
     assert codes == [EXIT_APPLIED, EXIT_NOT_RUN, EXIT_NOT_RUN, EXIT_NOT_RUN]
     assert {answer["code"] for _, answer in results} <= {"", "LD2002", "LD2003"}
     (winner,) = [answer["digest"] for code, answer in results if code == EXIT_APPLIED]
-    assert _status(operator)["accepted_digest"] == winner
-    assert _in_force(operator) == {6}
+    assert _read_status(operator)["accepted_digest"] == winner
+    assert _read_versions_in_force(operator) == {6}
 
     path = operator.write(7, lambda value: value["routes"][0].update(service="none"))
     code, answer = operator.run("apply", str(path))
@@ -104,20 +104,20 @@
     assert {item["path"] for item in differences} == {"version", "routes/checklist-lookup/deadline_ms"}
 
 
-def test_a_frozen_daemon_blocks_a_dead_one_does_not_and_catches_up(operator):
+def test_frozen_daemon_blocks_versions_and_killed_daemon_does_not_and_catches_up(operator):
     mesh = operator.mesh
     assert operator.apply(1)[0] == EXIT_APPLIED
-    frozen, dead = mesh.upstreams["checklists-1"], mesh.upstreams["checklists-0"]
+    frozen, killed = mesh.upstreams["checklists-1"], mesh.upstreams["checklists-0"]
     frozen.popen.send_signal(signal.SIGSTOP)
     code, answer = operator.apply(2)
     frozen.popen.send_signal(signal.SIGCONT)
     assert (code, answer["code"]) == (EXIT_NOT_RUN, "LD2005")
     assert ["checklists-1" in item["message"] for item in answer["findings"]] == [True]
-    assert _in_force(operator) == {1}
-    # Its zone can tell that a killed one holds no rules in force. Until both
-    # witnesses have confirmed that, two to three seconds after, versions wait for it,
-    # and those whose time to stage is over before are not run.
-    dead.kill()
+    assert _read_versions_in_force(operator) == {1}
+    # The zone of a killed daemon can confirm that the daemon has no version in force. Until both
+    # witnesses have confirmed it, two to three seconds after the kill, versions wait for the daemon,
+    # and versions whose staging time expires before that are not run.
+    killed.kill()
     first = 3
     while (result := operator.apply(first))[0] == EXIT_NOT_RUN:
         assert result[1]["code"] == "LD2005"
@@ -127,22 +127,22 @@
     for number in range(first + 1, 15):
         code, answer = operator.apply(number)
         assert (code, answer["required"]) == (EXIT_APPLIED, 8)
-    dead.start()
+    killed.start()
     _wait_connected(operator, 9)
-    mesh.wait_for(lambda: _in_force(operator) == {14}, "the daemon jumps to the newest")
-    assert 14 in _versions(dead)
-    assert not set(range(first, 14)) & set(_versions(dead))
+    mesh.wait_for(lambda: _read_versions_in_force(operator) == {14}, "the daemon has skipped to the newest version")
+    assert 14 in _read_used_versions(killed)
+    assert not set(range(first, 14)) & set(_read_used_versions(killed))
 
 
-def test_a_leader_killed_while_a_version_is_staged_leaves_one_outcome(operator):
+def test_leader_killed_during_staging_leaves_a_single_outcome(operator):
     mesh = operator.mesh
     assert operator.apply(1)[0] == EXIT_APPLIED
     frozen = mesh.upstreams["sightings-1"]
     frozen.popen.send_signal(signal.SIGSTOP)
     with ThreadPoolExecutor(1) as pool:
         job = pool.submit(operator.apply, 2)
-        mesh.wait_for(lambda: _status(operator)["candidate_version"] == 2, "version 2 is staged")
-        killed = _leader(operator)
+        mesh.wait_for(lambda: _read_status(operator)["candidate_version"] == 2, "version 2 is staged")
+        killed = _find_leader(operator)
         killed.kill()
         frozen.popen.send_signal(signal.SIGCONT)
         code, _ = job.result()
@@ -150,18 +150,20 @@
     assert again in (EXIT_APPLIED, EXIT_NOT_RUN)
     assert code in (again, EXIT_NOT_KNOWN)
     expected = 2 if again == EXIT_APPLIED else 1
-    mesh.wait_for(lambda: _in_force(operator) == {expected}, "everybody agrees")
+    mesh.wait_for(lambda: _read_versions_in_force(operator) == {expected}, "all daemons have the same version in force")
     killed.start()
-    mesh.wait_for(lambda: all(item["reachable"] for item in _status(operator)["replicas"]), "all replicas are back")
+    mesh.wait_for(
+        lambda: all(item["reachable"] for item in _read_status(operator)["replicas"]), "all replicas are reachable"
+    )
     assert operator.apply(2)[1]["answer"] == same["answer"]
 
 
-def test_a_leader_frozen_in_silence_is_followed_by_another_and_nothing_goes_back(operator):
+def test_frozen_leader_is_replaced_and_no_daemon_returns_to_an_older_version(operator):
     mesh = operator.mesh
     assert operator.apply(1)[0] == EXIT_APPLIED
-    old = _leader(operator)
+    old = _find_leader(operator)
     old.popen.send_signal(signal.SIGSTOP)
-    # Its daemons move to other sources before everybody can be reached.
+    # The daemons of the old leader have to move to other sources before all can be reached.
     number = 1
 
     def try_next() -> bool:
@@ -169,34 +171,39 @@
         number += 1
         return operator.apply(number)[0] == EXIT_APPLIED
 
-    mesh.wait_for(try_next, "a version passes under another leader", timeout=60)
+    mesh.wait_for(try_next, "a version is applied under another leader", timeout=60)
     old.popen.send_signal(signal.SIGCONT)
-    mesh.wait_for(lambda: all(item["reachable"] for item in _status(operator)["replicas"]), "the old one is back")
+    mesh.wait_for(
+        lambda: all(item["reachable"] for item in _read_status(operator)["replicas"]), "the former leader is reachable"
+    )
     assert operator.apply(number + 1)[0] == EXIT_APPLIED
     for process in [*mesh.entries.values(), *mesh.upstreams.values()]:
-        versions = _versions(process)
+        versions = _read_used_versions(process)
         assert versions == sorted(versions)
         assert versions[-1] == number + 1
 
 
-def test_a_zone_cut_off_blocks_unless_the_operator_names_it(operator):
+def test_isolated_zone_blocks_versions_unless_the_operator_allows_it(operator):
     mesh = operator.mesh
     assert operator.apply(1)[0] == EXIT_APPLIED
-    away = "nbo-b" if _leader(operator).settings["zone"] == "nbo-c" else "nbo-c"
-    cut = _zone(mesh, away)
-    _send(cut, signal.SIGSTOP)
+    isolated_zone = "nbo-b" if _find_leader(operator).settings["zone"] == "nbo-c" else "nbo-c"
+    isolated = _find_processes(mesh, isolated_zone)
+    _send_signal(isolated, signal.SIGSTOP)
     code, answer = operator.apply(2)
     assert code == EXIT_NOT_RUN
-    assert all(away in item["message"] for item in answer["findings"])
-    code, answer = operator.apply(3, None, "--allow-cut-off", away)
+    assert all(isolated_zone in item["message"] for item in answer["findings"])
+    code, answer = operator.apply(3, None, "--allow-cut-off", isolated_zone)
     assert code == EXIT_ACCEPTED
-    names = {process.name for process in cut if "control" not in process.settings}
+    names = {process.name for process in isolated if "control" not in process.settings}
     assert set(answer["lagging"]) == names
-    _send(cut, signal.SIGCONT)
-    mesh.wait_for(lambda: _in_force(operator) == {3} and len(_status(operator)["daemons"]) == 9, "the zone catches up")
+    _send_signal(isolated, signal.SIGCONT)
+    mesh.wait_for(
+        lambda: _read_versions_in_force(operator) == {3} and len(_read_status(operator)["daemons"]) == 9,
+        "the zone has version 3 in force",
+    )
 
 
-def test_without_a_quorum_a_restarted_daemon_waits_and_the_others_serve(operator):
+def test_without_quorum_restarted_daemon_waits_and_others_serve(operator):
     mesh = operator.mesh
     assert operator.apply(1)[0] == EXIT_APPLIED
     names = list(mesh.controls)
@@ -213,14 +220,14 @@
     assert mesh.request("GET", "/checklists/1", entry=0)[0] == 503
     for name in names[1:]:
         mesh.controls[name].start()
-    mesh.wait_for(lambda: mesh.request("GET", "/checklists/1", entry=0)[0] == 200, "the restarted one serves again")
+    mesh.wait_for(lambda: mesh.request("GET", "/checklists/1", entry=0)[0] == 200, "the restarted daemon serves again")
     assert operator.apply(2)[0] in (EXIT_APPLIED, EXIT_NOT_RUN)
 
 
-def test_a_lost_disk_is_replaced_and_a_second_loss_right_after_loses_nothing(operator):
+def test_accepted_version_survives_the_loss_of_two_disks_in_succession(operator):
     mesh = operator.mesh
     assert operator.apply(1)[0] == EXIT_APPLIED
-    first, second = [process for process in mesh.controls.values() if process is not _leader(operator)]
+    first, second = [process for process in mesh.controls.values() if process is not _find_leader(operator)]
     for lost in (first, second):
         lost.kill()
         shutil.rmtree(Path(lost.settings["control"]["data_folder"]))
@@ -228,28 +235,28 @@
         mesh.wait_for(lambda process=lost: _is_voter(mesh, process), f"{lost.name} votes again", timeout=60)
     history = operator.run("history")[1]
     assert [(item["version"], item["outcome"]) for item in history] == [(1, "accepted")]
-    # Only the two new ones are left: they hold what was accepted.
-    _leader(operator).kill()
-    mesh.wait_for(lambda: _try_status(operator) == 1, "the new ones lead", timeout=60)
+    # Only the two replaced replicas remain; they hold the accepted version.
+    _find_leader(operator).kill()
+    mesh.wait_for(lambda: _read_confirmed_version(operator) == 1, "a replaced replica leads", timeout=60)
     assert [item["version"] for item in operator.run("history")[1]] == [1]
 
 
 def _is_voter(mesh, process) -> bool:
-    """Tell whether a replica's newest incarnation is a voter by another's log."""
+    """Return whether the newest incarnation of a replica is a voter according to its log."""
     identity = Path(process.settings["control"]["data_folder"]) / "identity"
     if not identity.exists():
         return False
     incarnation = identity.read_text(encoding="utf-8")
-    changes = _lines(process, "E206")
+    changes = _read_events(process, "E206")
     return bool(changes) and incarnation in changes[-1]["voters"]
 
 
-def _try_status(operator) -> int:
+def _read_confirmed_version(operator) -> int:
     code, status = operator.run("status")
     return status["accepted_version"] if code == 0 and status["confirmed"] else 0
 
 
-def test_a_herd_that_dies_comes_back_with_what_was_accepted(operator):
+def test_killed_processes_return_with_the_accepted_version(operator):
     mesh = operator.mesh
     assert operator.apply(3)[0] == EXIT_APPLIED
     daemons = [*mesh.entries.values(), *mesh.upstreams.values()]
@@ -258,47 +265,51 @@
     for process in daemons:
         process.start()
     _wait_connected(operator, 9)
-    mesh.wait_for(lambda: _in_force(operator) == {3}, "all hold version 3 again")
+    mesh.wait_for(lambda: _read_versions_in_force(operator) == {3}, "all daemons have version 3 in force")
     assert mesh.request("POST", "/sightings", b"x")[0] == 200
-    # Everything dies together, control as well.
+    # All processes are killed together, including the control instances.
     for process in mesh.processes:
         process.kill()
     for process in mesh.processes:
         process.start()
     for process in mesh.processes:
         mesh.wait_listening(process)
-    mesh.wait_for(lambda: _try_status(operator) == 3 and _in_force(operator) == {3}, "all are back", timeout=60)
+    mesh.wait_for(
+        lambda: _read_confirmed_version(operator) == 3 and _read_versions_in_force(operator) == {3},
+        "all processes have version 3 in force",
+        timeout=60,
+    )
     assert operator.apply(4)[0] == EXIT_APPLIED
 
 
-def test_a_daemon_that_missed_300_versions_jumps_to_the_newest(operator):
+def test_daemon_that_missed_300_versions_skips_to_the_newest(operator):
     mesh = operator.mesh
     assert operator.apply(1)[0] == EXIT_APPLIED
-    dead = mesh.upstreams["media-0"]
-    dead.kill()
+    killed = mesh.upstreams["media-0"]
+    killed.kill()
     assert operator.apply(2)[0] == EXIT_APPLIED
     client = ControlClient([Address.parse(text) for text in mesh.control_addresses.split(",")], None, 20.0)
     for number in range(3, 303):
-        content = operator.write(number, _deadline(1000 + number)).read_bytes()
+        content = operator.write(number, _set_deadline(1000 + number)).read_bytes()
         request = messages.SubmitRequest(version=number, content=content)
         reply = asyncio.run(client.submit(request, lambda progress: None))
         assert reply.answer == messages.ANSWER_APPLIED
-    dead.start()
+    killed.start()
     _wait_connected(operator, 9)
-    mesh.wait_for(lambda: _in_force(operator) == {302}, "the daemon jumps to the newest")
-    assert _versions(dead) == [1, 302]
+    mesh.wait_for(lambda: _read_versions_in_force(operator) == {302}, "the daemon has skipped to the newest version")
+    assert _read_used_versions(killed) == [1, 302]
 
 
-def test_a_full_disk_takes_its_replica_out_and_nothing_else(operator):
+def test_full_disk_stops_only_its_own_replica(operator):
     mesh = operator.mesh
-    # The limit below holds for the process's own messages, too, so the log has
-    # to be longer than those by far.
+    # The size limit below applies to the log messages of the process, too, so the data log has to be
+    # much longer than these.
     for number in range(1, 11):
-        assert operator.apply(number, _other_routes)[0] == EXIT_APPLIED
-    full = next(process for process in mesh.controls.values() if process is not _leader(operator))
+        assert operator.apply(number, _add_distinct_routes)[0] == EXIT_APPLIED
+    full = next(process for process in mesh.controls.values() if process is not _find_leader(operator))
     size = (Path(full.settings["control"]["data_folder"]) / "log").stat().st_size
     assert size > 5 * full.log_path.stat().st_size
-    # What the file may not grow by, the disk has no room for.
+    # The limit on the file size simulates a full disk.
     resource.prlimit(full.popen.pid, resource.RLIMIT_FSIZE, (size + 10, size + 10))
 
     def try_next() -> bool:
@@ -306,22 +317,24 @@
         number += 1
         return operator.apply(number)[0] == EXIT_APPLIED
 
-    mesh.wait_for(try_next, "a version passes without the replica", timeout=60)
-    assert _lines(full, "E204")
+    mesh.wait_for(try_next, "a version is applied without the replica", timeout=60)
+    assert _read_events(full, "E204")
     assert "Traceback" not in full.log()
     assert operator.apply(number + 1)[0] == EXIT_APPLIED
-    assert _in_force(operator) == {number + 1}
-    # With room again it is started anew, with what it had synced.
+    assert _read_versions_in_force(operator) == {number + 1}
+    # Restarted without the limit, the replica continues from its synced log.
     full.kill()
     full.start()
-    mesh.wait_for(lambda: all(item["reachable"] for item in _status(operator)["replicas"]), "it takes part again")
+    mesh.wait_for(
+        lambda: all(item["reachable"] for item in _read_status(operator)["replicas"]), "all replicas are reachable"
+    )
     assert operator.apply(number + 2)[0] == EXIT_APPLIED
 
 
-def test_a_bit_gone_bad_keeps_a_replica_from_starting(operator):
+def test_replica_with_a_flipped_bit_in_its_log_does_not_start(operator):
     mesh = operator.mesh
     assert operator.apply(1)[0] == EXIT_APPLIED
-    bad = next(process for process in mesh.controls.values() if process is not _leader(operator))
+    bad = next(process for process in mesh.controls.values() if process is not _find_leader(operator))
     bad.kill()
     log = Path(bad.settings["control"]["data_folder"]) / "log"
     data = bytearray(log.read_bytes())
@@ -330,4 +343,4 @@
     bad.start()
     assert bad.popen.wait(30) == 1
     assert "LD4001" in bad.log()
-    assert _status(operator)["accepted_version"] == 1
+    assert _read_status(operator)["accepted_version"] == 1
