--- a/packages/lanedock-cli/lanedock_cli/app.py
+++ b/packages/lanedock-cli/lanedock_cli/app.py
@@ -1,5 +1,5 @@
 # SPDX-License-Identifier: BSD-3-Clause
-"""The binary ``lanedock``."""
+"""The command ``lanedock``."""
 
 import asyncio
 import getpass
@@ -27,8 +27,8 @@
     TlsOption,
     make_client,
 )
-from lanedock_cli.doctor import examine
-from lanedock_cli.explain import gather, print_account
+from lanedock_cli.doctor import run_checks
+from lanedock_cli.explain import collect_timeline, print_timeline
 from lanedock_cli.render import (
     ANSWER_NAMES,
     answer_value,
@@ -57,8 +57,8 @@
 app = typer.Typer(
     no_args_is_help=True,
     rich_markup_mode=None,
-    help="Applies configurations to a lanedock mesh, as a whole, and tells which version is in force where.",
-    epilog=f"The control instances are named by --control or by ${CONTROL_VARIABLE}.",
+    help="Applies configurations to a lanedock mesh, each as a whole, and shows the version in force on each daemon.",
+    epilog=f"--control or ${CONTROL_VARIABLE} gives the addresses of the control instances.",
 )
 app.add_typer(canary.app, name="canary")
 _console = Console()
@@ -76,7 +76,7 @@
 
 @app.command(epilog="example: lanedock check kijani.jsonc")
 def check(file: FileArgument, as_json: JsonOption = False) -> None:
-    """Check a file without any network; print all findings. Exit code 2 if there are some."""
+    """Check a file without network access and print all findings. Exit code 2 if there are any."""
     tree = _load(file, as_json)
     if as_json:
         print_json({"findings": [], "version": tree.number, "digest": tree.version.digest.hex()})
@@ -90,16 +90,16 @@
     control: ControlOption = "",
     tls: TlsOption = "",
     allow_cut_off: Annotated[
-        list[str], typer.Option(help="A zone that may be cut off; say it once for each.", metavar="ZONE")
-    ] = [],  # noqa: B006 - typer wants the plain default
+        list[str], typer.Option(help="A zone that may be cut off; repeat the option for several.", metavar="ZONE")
+    ] = [],  # noqa: B006 - typer requires the literal default
     timeout: Annotated[float, typer.Option(help="Seconds to wait for the outcome.")] = 10.0,
     as_json: JsonOption = False,
 ) -> None:
     """Apply a file as a whole.
 
     Exit codes: 0 applied everywhere; 2 the file has findings; 3 not run, and
-    never will be; 4 not known yet, submit the same file again; 5 accepted for
-    good, but not in force everywhere yet.
+    it never will be; 4 not known yet, submit the same file again; 5 accepted
+    permanently, but not in force everywhere yet.
     """
     tree = _load(file, as_json)
     request = messages.SubmitRequest(
@@ -163,10 +163,10 @@
 def status(
     control: ControlOption = "",
     tls: TlsOption = "",
-    watch: Annotated[bool, typer.Option(help="Show it again every second, until interrupted.")] = False,
+    watch: Annotated[bool, typer.Option(help="Refresh every second, until interrupted.")] = False,
     as_json: JsonOption = False,
 ) -> None:
-    """Tell which version is in force where, by zone, and who is behind."""
+    """Show the version in force on each daemon, and which daemons are behind."""
     client = make_client(control, tls, CLIENT_GRACE)
     while True:
         reply = asyncio.run(client.ask("Status", messages.StatusRequest()))
@@ -183,7 +183,7 @@
 
 @app.command(epilog="example: lanedock diff kijani.jsonc")
 def diff(file: FileArgument, control: ControlOption = "", tls: TlsOption = "", as_json: JsonOption = False) -> None:
-    """Tell what a file would change in the accepted version."""
+    """Show what a file would change in the accepted version."""
     tree = _load(file, as_json)
     client = make_client(control, tls, CLIENT_GRACE)
     reply = asyncio.run(client.ask("Show", messages.ShowRequest()))
@@ -201,10 +201,10 @@
 def history(
     control: ControlOption = "",
     tls: TlsOption = "",
-    limit: Annotated[int, typer.Option(min=1, help="Most versions to list.")] = 20,
+    limit: Annotated[int, typer.Option(min=1, help="Maximum number of versions to list.")] = 20,
     as_json: JsonOption = False,
 ) -> None:
-    """List the submitted versions and what became of them, the newest first."""
+    """List the submitted versions and their outcomes, the newest first."""
     client = make_client(control, tls, CLIENT_GRACE)
     reply = asyncio.run(client.ask("History", messages.HistoryRequest(limit=limit)))
     if as_json:
@@ -217,14 +217,14 @@
 def quarantine(
     control: ControlOption = "",
     tls: TlsOption = "",
-    clear: Annotated[str, typer.Option(help="Digest of a request to pass on again.", metavar="DIGEST")] = "",
+    clear: Annotated[str, typer.Option(help="Digest of a request to release from quarantine.", metavar="DIGEST")] = "",
     as_json: JsonOption = False,
 ) -> None:
-    """List the requests that are not passed on since upstreams end under them. Exit code 1 if none was cleared."""
+    """List the requests that are not forwarded because they crash upstreams. Exit code 1 if --clear found none."""
     try:
         digest = bytes.fromhex(clear)
     except ValueError as exc:
-        raise typer.BadParameter("a digest is hexadecimal", param_hint="--clear") from exc
+        raise typer.BadParameter("a digest consists of hexadecimal digits", param_hint="--clear") from exc
     client = make_client(control, tls, CLIENT_GRACE)
     reply = asyncio.run(client.ask("Quarantine", messages.QuarantineRequest(clear=digest)))
     if as_json:
@@ -237,51 +237,55 @@
 
 @app.command(epilog="example: lanedock doctor --settings entry-nbo-a.jsonc")
 def doctor(
-    settings: Annotated[Path, typer.Option("--settings", help="Settings of a process.", metavar="FILE")],
+    settings: Annotated[Path, typer.Option("--settings", help="Settings file of a process.", metavar="FILE")],
     as_json: JsonOption = False,
 ) -> None:
-    """Check addresses, folder, disk, clock and peers of an instance. Exit code 2 if something is wrong."""
+    """Check an instance's clock, addresses, peers, data folder and TLS files. Exit code 2 if a check fails."""
     try:
         loaded = load_settings(str(settings))
     except FindingsError as exc:
         print_findings(exc.findings, as_json)
         raise typer.Exit(EXIT_FINDINGS) from exc
-    checks = examine(loaded)
+    checks = run_checks(loaded)
     if as_json:
-        print_json([{"what": item.what, "good": item.good, "told": item.finding} for item in checks])
+        print_json([{"what": item.subject, "good": item.passed, "told": item.detail} for item in checks])
     else:
         for item in checks:
             code = f" [{item.code.code}: {item.code.remedy}]" if item.code else ""
-            print(f"{'ok ' if item.good else 'BAD'} {item.what}: {item.finding}{code}")
-    if not all(item.good for item in checks):
+            print(f"{'ok ' if item.passed else 'BAD'} {item.subject}: {item.detail}{code}")
+    if not all(item.passed for item in checks):
         raise typer.Exit(EXIT_FINDINGS)
 
 
 @app.command(epilog="example: lanedock trace spans.jsonl")
 def trace(file: FileArgument) -> None:
-    """Draw the calls of a file of spans as trees."""
+    """Draw the traces in a file of spans as trees."""
     print_traces(file, _console)
 
 
 @app.command(epilog="example: lanedock explain 9c41d07be2a35f68 logs/*.log")
 def explain(
     request: Annotated[str, typer.Argument(help="The request's id, from the caller's report.", metavar="ID")],
-    files: Annotated[list[Path], typer.Argument(help="Logs of the processes it may have met.", metavar="FILE...")],
+    files: Annotated[
+        list[Path], typer.Argument(help="Logs of the processes that may have handled it.", metavar="FILE...")
+    ],
 ) -> None:
-    """Gather what several processes' logs say of one request."""
-    account = gather(request, files)
-    print_account(account, _console)
-    if not account.lines:
+    """Print the timeline of one request, from the logs of several processes."""
+    timeline = collect_timeline(request, files)
+    print_timeline(timeline, _console)
+    if not timeline.lines:
         raise typer.Exit(EXIT_FAILED)
 
 
 @app.command(epilog="example: lanedock summary logs/*.log --every 2")
 def summary(
     files: Annotated[list[Path], typer.Argument(help="Logs of daemons.", metavar="FILE...")],
-    every: Annotated[float | None, typer.Option(help="Seconds of a span; without it all is one.", min=0.1)] = None,
-    process: Annotated[str, typer.Option(help="Beginning of the names of the processes that count.")] = "",
+    every: Annotated[
+        float | None, typer.Option(help="Seconds of an interval; if omitted, the whole logs are one.", min=0.1)
+    ] = None,
+    process: Annotated[str, typer.Option(help="Prefix of the names of the processes to count.")] = "",
 ) -> None:
-    """Show how all requests ended, by route: shares, times, and waits in queues."""
+    """Show the outcomes of all requests by route: shares, mean durations and mean queue waits."""
     found = summarize(files, every, process)
     print_summary(found, _console)
     if not found.rows:
--- a/packages/lanedock-cli/lanedock_cli/canary.py
+++ b/packages/lanedock-cli/lanedock_cli/canary.py
@@ -24,14 +24,14 @@
 EXIT_NOT_RUN = 3
 EXIT_NOT_KNOWN = 4
 EXIT_ROLLED_BACK = 6
-# Seconds between two looks at a canary that is followed.
+# Seconds between two polls of a canary with --follow.
 FOLLOW_INTERVAL = 0.5
 _PHASES = {
     messages.CANARY_RUNNING: "running",
     messages.CANARY_COMPLETED: "completed",
     messages.CANARY_ROLLED_BACK: "rolled back",
 }
-# Refusals that say that an order has not run.
+# Error codes of a command that certainly was not executed.
 _NOT_RUN = (
     ErrorCode.CANARY_RUNS,
     ErrorCode.CANARY_NOT_NEW,
@@ -42,7 +42,7 @@
 app = typer.Typer(
     no_args_is_help=True,
     rich_markup_mode=None,
-    help="Moves a service's traffic to a new version of its software, by evidence.",
+    help="Moves a service's traffic to a new software version step by step, as its error rates and times allow.",
 )
 _console = Console()
 
@@ -58,12 +58,12 @@
     duration: Annotated[
         float, typer.Option(min=1, max=86400, help="Seconds within which it is completed or rolled back.")
     ] = 600.0,
-    follow: Annotated[bool, typer.Option(help="Wait for its end.")] = False,
+    follow: Annotated[bool, typer.Option(help="Wait until it is completed or rolled back.")] = False,
     as_json: JsonOption = False,
 ) -> None:
-    """Start a canary release; starting it again is acknowledged again.
+    """Start a canary release; repeating the command is safe.
 
-    Exit codes: 0 started, or completed; 3 not run; 4 not known yet, start it again; 6 rolled back.
+    Exit codes: 0 started, or completed; 3 not run; 4 not known yet, repeat the command; 6 rolled back.
     """
     request = messages.CanaryRequest(
         action=messages.CANARY_START,
@@ -73,10 +73,10 @@
         operator=getpass.getuser(),
     )
     client = make_client(control, tls, CLIENT_GRACE)
-    reply = _order(client, request)
+    reply = _send_request(client, request)
     if follow:
-        reply = _follow(client, service, as_json)
-    _show(reply, as_json)
+        reply = _wait_for_end(client, service, as_json)
+    _print_and_exit(reply, as_json)
 
 
 @app.command(epilog="example: lanedock canary status checklists")
@@ -86,12 +86,12 @@
     tls: TlsOption = "",
     as_json: JsonOption = False,
 ) -> None:
-    """Show the newest canary release of each service: its share, its evidence, and what it waits for."""
-    reply = _list(make_client(control, tls, CLIENT_GRACE), service)
+    """Show the newest canary release of each service: its share, its counts of answers, and what it waits for."""
+    reply = _list_canaries(make_client(control, tls, CLIENT_GRACE), service)
     newest: dict[str, messages.CanaryProgress] = {}
     for item in reply.canaries:
         newest.setdefault(item.record.service, item)
-    _print(list(newest.values()), as_json)
+    _print_canaries(list(newest.values()), as_json)
 
 
 @app.command(epilog="example: lanedock canary history checklists")
@@ -102,33 +102,33 @@
     as_json: JsonOption = False,
 ) -> None:
     """List canary releases, the newest first, and why they ended."""
-    _print(list(_list(make_client(control, tls, CLIENT_GRACE), service).canaries), as_json)
+    _print_canaries(list(_list_canaries(make_client(control, tls, CLIENT_GRACE), service).canaries), as_json)
 
 
 @app.command(epilog="example: lanedock canary promote checklists")
 def promote(
     service: ServiceArgument, control: ControlOption = "", tls: TlsOption = "", as_json: JsonOption = False
 ) -> None:
-    """Send a canary all requests now; it is completed once every daemon does, unless it proves bad."""
-    _decide(messages.CANARY_PROMOTE, service, control, tls, as_json)
+    """Send all requests to the canary now; it completes once every daemon does so, unless it fails first."""
+    _send_decision(messages.CANARY_PROMOTE, service, control, tls, as_json)
 
 
 @app.command(epilog="example: lanedock canary abort checklists")
 def abort(
     service: ServiceArgument, control: ControlOption = "", tls: TlsOption = "", as_json: JsonOption = False
 ) -> None:
-    """Roll a canary back now: its version gets nothing any more."""
-    _decide(messages.CANARY_ABORT, service, control, tls, as_json)
+    """Roll a canary back now: its version receives no more requests."""
+    _send_decision(messages.CANARY_ABORT, service, control, tls, as_json)
 
 
-def _decide(action: int, service: str, control: str, tls: str, as_json: bool) -> None:
+def _send_decision(action: int, service: str, control: str, tls: str, as_json: bool) -> None:
     client = make_client(control, tls, CLIENT_GRACE)
     request = messages.CanaryRequest(action=action, service=service, operator=getpass.getuser())
-    _print(list(_order(client, request).canaries)[:1], as_json)
+    _print_canaries(list(_send_request(client, request).canaries)[:1], as_json)
 
 
-def _order(client: ControlClient, request: messages.CanaryRequest) -> messages.CanaryReply:
-    """Give an order; ends the program where it was refused, or its outcome isn't known."""
+def _send_request(client: ControlClient, request: messages.CanaryRequest) -> messages.CanaryReply:
+    """Send a request; exits the program if the request is refused or its outcome is unknown."""
     reply = asyncio.run(client.ask("Canary", request))
     if reply.code:
         code = ErrorCode.find(reply.code)
@@ -138,31 +138,31 @@
     return reply
 
 
-def _list(client: ControlClient, service: str) -> messages.CanaryReply:
-    return _order(client, messages.CanaryRequest(action=messages.CANARY_LIST, service=service))
+def _list_canaries(client: ControlClient, service: str) -> messages.CanaryReply:
+    return _send_request(client, messages.CanaryRequest(action=messages.CANARY_LIST, service=service))
 
 
-def _follow(client: ControlClient, service: str, as_json: bool) -> messages.CanaryReply:
-    shown = ""
+def _wait_for_end(client: ControlClient, service: str, as_json: bool) -> messages.CanaryReply:
+    last_line = ""
     while True:
-        reply = _list(client, service)
+        reply = _list_canaries(client, service)
         item = reply.canaries[0]
         line = f"{item.record.share_permille / 10:.0f} %: {item.waits_for or item.record.reason}"
-        if line != shown and not as_json:
-            shown = line
+        if line != last_line and not as_json:
+            last_line = line
             print(line, file=sys.stderr)
         if item.record.phase != messages.CANARY_RUNNING:
             return reply
         time.sleep(FOLLOW_INTERVAL)
 
 
-def _show(reply: messages.CanaryReply, as_json: bool) -> None:
-    _print(list(reply.canaries)[:1], as_json)
-    is_back = reply.canaries[0].record.phase == messages.CANARY_ROLLED_BACK
-    raise typer.Exit(EXIT_ROLLED_BACK if is_back else EXIT_COMPLETED)
+def _print_and_exit(reply: messages.CanaryReply, as_json: bool) -> None:
+    _print_canaries(list(reply.canaries)[:1], as_json)
+    is_rolled_back = reply.canaries[0].record.phase == messages.CANARY_ROLLED_BACK
+    raise typer.Exit(EXIT_ROLLED_BACK if is_rolled_back else EXIT_COMPLETED)
 
 
-def _value(item: messages.CanaryProgress) -> dict:
+def _canary_value(item: messages.CanaryProgress) -> dict:
     record = item.record
     return {
         "canary": record.number,
@@ -184,8 +184,8 @@
     }
 
 
-def _print(items: list[messages.CanaryProgress], as_json: bool) -> None:
-    values = [_value(item) for item in items]
+def _print_canaries(items: list[messages.CanaryProgress], as_json: bool) -> None:
+    values = [_canary_value(item) for item in items]
     if as_json:
         print_json(values)
         return
--- a/packages/lanedock-cli/lanedock_cli/client.py
+++ b/packages/lanedock-cli/lanedock_cli/client.py
@@ -1,5 +1,5 @@
 # SPDX-License-Identifier: BSD-3-Clause
-"""Calls to the control instances: finding the leader, and asking again."""
+"""Client of the control instances: finds the leader and retries calls."""
 
 import asyncio
 import ssl
@@ -13,49 +13,59 @@
 from lanedock.wire import messages
 from lanedock.wire.lanedock_grpc import OperatorsStub
 
-__all__ = ["ControlClient", "Unreachable"]
+__all__ = ["ControlClient", "LeaderUnreachableError"]
 
+# Seconds for a unary call, and for each message of a streamed one.
 CALL_TIMEOUT = 3.0
-PAUSE = 0.2
-_BROKEN = (OSError, GRPCError, ProtocolError, StreamTerminatedError, asyncio.TimeoutError)
+# Seconds between two attempts to find a leader.
+RETRY_INTERVAL = 0.2
+_CALL_ERRORS = (OSError, GRPCError, ProtocolError, StreamTerminatedError, asyncio.TimeoutError)
 
 
-class Unreachable(LanedockError):
-    """No control instance that could be reached leads."""
+class LeaderUnreachableError(LanedockError):
+    """No control instance answered, so the leader is unknown."""
 
 
 class ControlClient:
-    """Asks whichever control instance leads.
+    """Sends operators' requests to the control instance that is the leader.
 
     Parameters
     ----------
     addresses : list of Address
+        Of the control instances, in the order in which they are tried.
     context : ssl.SSLContext or None
-    patience : float
+        Plain TCP if None.
+    leader_timeout : float
         Seconds to look for a leader.
     """
 
-    def __init__(self, addresses: list[Address], context: ssl.SSLContext | None, patience: float):
+    def __init__(self, addresses: list[Address], context: ssl.SSLContext | None, leader_timeout: float):
         self._addresses = addresses
         self._context = context
-        self._patience = patience
+        self._leader_timeout = leader_timeout
         self._leader: Address | None = None
 
     async def ask(self, method: str, request):
-        """Make a call that changes nothing, at the leader if there is one.
+        """Make a read-only call to the leader, or to another instance if there is none.
+
+        Parameters
+        ----------
+        method : str
+            Name of the method of the ``Operators`` service.
+        request : message
 
         Returns
         -------
         message
-            The leader's reply, or another instance's own knowledge where no
-            leader could be found.
+            The leader's reply. Without a leader, the reply of another instance,
+            which holds the state that this instance last knew.
 
         Raises
         ------
-        Unreachable
-            Nobody answered.
+        LeaderUnreachableError
+            No control instance answered.
         """
-        until = time.monotonic() + self._patience
+        deadline = time.monotonic() + self._leader_timeout
         fallback = None
         while True:
             for address in list(self._addresses):
@@ -70,75 +80,83 @@
                 if reply.code != ErrorCode.NO_LEADER.code:
                     return reply
                 fallback = reply
-            if time.monotonic() >= until or fallback is not None:
+            if time.monotonic() >= deadline or fallback is not None:
                 break
-            await asyncio.sleep(PAUSE)
+            await asyncio.sleep(RETRY_INTERVAL)
         if fallback is None:
-            raise Unreachable(ErrorCode.NO_LEADER)
+            raise LeaderUnreachableError(ErrorCode.NO_LEADER)
         return fallback
 
     async def _ask_one(self, address: Address, method: str, request):
         channel = Channel(address.host, address.port, ssl=self._context)
         try:
             return await getattr(OperatorsStub(channel), method)(request, timeout=CALL_TIMEOUT)
-        except _BROKEN:
+        except _CALL_ERRORS:
             return None
         finally:
             channel.close()
 
     async def submit(self, request: messages.SubmitRequest, on_progress) -> messages.SubmitReply:
-        """Submit a version, and again until its outcome is known or time is up.
+        """Submit a version, and retry until its outcome is known or the time is up.
 
-        Submitting again is safe: an equal number with equal content gets the
-        answer of the first submission.
+        Retries are safe: the same version number with the same content gets
+        the answer of the first submission.
 
         Parameters
         ----------
         request : SubmitRequest
         on_progress : callable
-            Takes replies that are not final.
+            Called with each reply that is not final.
 
         Returns
         -------
         SubmitReply
-            Final. Once an attempt's outcome was unknown, a refusal that
-            another attempt got is not passed off as the outcome of the first.
+            The final reply. After an attempt with an unknown outcome, a
+            "busy" refusal of a later attempt is reported as unknown, too.
         """
-        until = time.monotonic() + self._patience
-        was_ambiguous = False
+        deadline = time.monotonic() + self._leader_timeout
+        may_have_run = False
         leader = self._leader
         position = 0
-        reply = _make_unknown(request, ErrorCode.NO_LEADER)
+        reply = _make_unknown_reply(request, ErrorCode.NO_LEADER)
         while True:
             address = leader or self._addresses[position % len(self._addresses)]
             leader = self._leader = None
-            got, was_sent = await self._submit_one(address, request, on_progress)
-            if got is None:
-                was_ambiguous = was_ambiguous or was_sent
+            attempt, was_sent = await self._submit_one(address, request, on_progress)
+            if attempt is None:
+                may_have_run = may_have_run or was_sent
                 position += 1
-            elif got.code == ErrorCode.NOT_LEADER.code:
-                leader = Address.parse(got.leader_address) if got.leader_address else None
+            elif attempt.code == ErrorCode.NOT_LEADER.code:
+                leader = Address.parse(attempt.leader_address) if attempt.leader_address else None
                 position += 1
-            elif got.answer == messages.ANSWER_NOT_KNOWN:
-                was_ambiguous = True
-                reply = got
+            elif attempt.answer == messages.ANSWER_NOT_KNOWN:
+                may_have_run = True
+                reply = attempt
             else:
                 self._leader = address
-                return self._settle(request, got, was_ambiguous)
-            if time.monotonic() >= until:
+                return self._resolve_outcome(request, attempt, may_have_run)
+            if time.monotonic() >= deadline:
                 return reply
             if leader is None:
-                await asyncio.sleep(PAUSE)
+                await asyncio.sleep(RETRY_INTERVAL)
 
-    def _settle(self, request, reply: messages.SubmitReply, was_ambiguous: bool) -> messages.SubmitReply:
-        # Busy is no outcome of the version: an earlier attempt may still be
-        # on its way into the log.
-        if was_ambiguous and reply.code == ErrorCode.SUBMISSION_BUSY.code:
-            return _make_unknown(request, ErrorCode.OUTCOME_NOT_KNOWN)
+    def _resolve_outcome(self, request, reply: messages.SubmitReply, may_have_run: bool) -> messages.SubmitReply:
+        # A busy leader says nothing about this version: an earlier attempt may
+        # still be committed to the log.
+        if may_have_run and reply.code == ErrorCode.SUBMISSION_BUSY.code:
+            return _make_unknown_reply(request, ErrorCode.OUTCOME_NOT_KNOWN)
         return reply
 
     async def _submit_one(self, address: Address, request, on_progress) -> tuple[messages.SubmitReply | None, bool]:
-        """Submit to one instance; returns also whether the request may have arrived."""
+        """Submit to one instance.
+
+        Returns
+        -------
+        SubmitReply or None
+            None if the connection failed.
+        bool
+            Whether the request may have arrived.
+        """
         channel = Channel(address.host, address.port, ssl=self._context)
         was_sent = False
         try:
@@ -147,21 +165,21 @@
                 was_sent = True
                 await stream.send_message(request, end=True)
                 while True:
-                    # A control instance that is paused accepts connections
-                    # all the same; one that works replies in time.
+                    # The kernel accepts connections for a suspended process, too;
+                    # a running control instance replies within the timeout.
                     reply = await asyncio.wait_for(stream.recv_message(), CALL_TIMEOUT)
                     if reply is None:
                         return None, was_sent
                     if reply.answer != messages.ANSWER_IN_PROGRESS:
                         return reply, was_sent
                     on_progress(reply)
-        except _BROKEN:
+        except _CALL_ERRORS:
             return None, was_sent
         finally:
             channel.close()
 
 
-def _make_unknown(request, code: ErrorCode) -> messages.SubmitReply:
+def _make_unknown_reply(request, code: ErrorCode) -> messages.SubmitReply:
     return messages.SubmitReply(
         answer=messages.ANSWER_NOT_KNOWN, code=code.code, message=code.meaning, version=request.version
     )
--- a/packages/lanedock-cli/lanedock_cli/connection.py
+++ b/packages/lanedock-cli/lanedock_cli/connection.py
@@ -1,5 +1,5 @@
 # SPDX-License-Identifier: BSD-3-Clause
-"""Options of the commands that ask control instances, and the client that they make."""
+"""Command-line options for the connection to the control instances."""
 
 import os
 from typing import Annotated
@@ -13,7 +13,7 @@
 __all__ = ["CLIENT_GRACE", "CONTROL_VARIABLE", "ControlOption", "JsonOption", "TlsOption", "make_client"]
 
 CONTROL_VARIABLE = "LANEDOCK_CONTROL"
-# Seconds to look for a leader, beyond those for which an order may wait.
+# Seconds to look for a leader, in addition to the time that a command may wait for its outcome.
 CLIENT_GRACE = 2.0
 
 ControlOption = Annotated[
@@ -23,31 +23,38 @@
 TlsOption = Annotated[
     str, typer.Option("--tls", envvar="LANEDOCK_TLS", help="Folder with client.crt, client.key and authority.crt.")
 ]
-JsonOption = Annotated[bool, typer.Option("--json", help="Print JSON, for machines.")]
+JsonOption = Annotated[bool, typer.Option("--json", help="Print JSON.")]
 
 
-def make_client(control: str, tls: str, patience: float) -> ControlClient:
-    """Make a client of the control instances that an option names.
+def make_client(control: str, tls: str, leader_timeout: float) -> ControlClient:
+    """Make a client of the control instances.
 
     Parameters
     ----------
-    control, tls : str
-        Values of the options.
-    patience : float
+    control : str
+        Value of ``--control``: IP:PORT, separated by commas.
+    tls : str
+        Value of ``--tls``: the folder of the certificates; plain TCP if empty.
+    leader_timeout : float
         Seconds to look for a leader.
 
     Raises
     ------
     typer.BadParameter
-        No address is given, or one can't be read.
+        `control` has no address, or an invalid one.
     """
     try:
         addresses = [Address.parse(text.strip()) for text in control.split(",") if text.strip()]
     except ValueError as exc:
-        raise typer.BadParameter(f"{control!r} is not a list of IP:PORT", param_hint="--control") from exc
+        raise typer.BadParameter(
+            f"{control!r} is not a comma-separated list of IP:PORT", param_hint="--control"
+        ) from exc
     if not addresses:
-        raise typer.BadParameter(f"name the control instances, or set {CONTROL_VARIABLE}", param_hint="--control")
-    return ControlClient(addresses, _make_context(tls), patience)
+        raise typer.BadParameter(
+            f"no control instance given; pass IP:PORT, separated by commas, or set {CONTROL_VARIABLE}",
+            param_hint="--control",
+        )
+    return ControlClient(addresses, _make_context(tls), leader_timeout)
 
 
 def _make_context(folder: str):
--- a/packages/lanedock-cli/lanedock_cli/doctor.py
+++ b/packages/lanedock-cli/lanedock_cli/doctor.py
@@ -1,5 +1,5 @@
 # SPDX-License-Identifier: BSD-3-Clause
-"""Checks of an instance before its process is started, from its settings."""
+"""Checks of an instance's environment before its process starts, based on its settings."""
 
 import os
 import socket
@@ -10,55 +10,59 @@
 from lanedock.membership import make_platform_list
 from lanedock.settings import Address, Settings
 
-__all__ = ["Check", "examine"]
+__all__ = ["Check", "run_checks"]
 
+# Seconds.
 CONNECT_TIMEOUT = 1.0
-SLOW_SYNC = 0.1
+# Seconds that a sync of the data folder may take.
+MAX_SYNC_TIME = 0.1
 SYNC_ROUNDS = 5
+# POSIX time, in seconds (14 November 2023); an earlier clock has not been set.
 EARLIEST_CLOCK = 1_700_000_000
 
 
 class Check:
-    """One thing that was looked at.
+    """Result of one check.
 
     Parameters
     ----------
-    what : str
-    good : bool
-    finding : str
-        What was found.
+    subject : str
+        What was checked, such as a setting or a peer.
+    passed : bool
+    detail : str
+        Observed state, or the reason of the failure.
     code : ErrorCode or None
-        Of a finding.
+        Of a failure.
     """
 
-    __slots__ = ("code", "finding", "good", "what")
+    __slots__ = ("code", "detail", "passed", "subject")
 
-    def __init__(self, what: str, good: bool, finding: str, code: ErrorCode | None = None):
-        self.what = what
-        self.good = good
-        self.finding = finding
+    def __init__(self, subject: str, passed: bool, detail: str, code: ErrorCode | None = None):
+        self.subject = subject
+        self.passed = passed
+        self.detail = detail
         self.code = code
 
     def __repr__(self) -> str:
-        return f"<Check {self.what} {'good' if self.good else 'bad'}: {self.finding}>"
+        return f"<Check {self.subject} {'passed' if self.passed else 'failed'}: {self.detail}>"
 
 
-def examine(settings: Settings) -> list[Check]:
-    """Look at addresses, folder, disk, clock and peers; returns all findings."""
+def run_checks(settings: Settings) -> list[Check]:
+    """Check the clock, addresses, peers, data folder, platform list and TLS files; return all results."""
     checks = [_check_clock()]
-    for name, address in _listening(settings):
+    for name, address in _listen_addresses(settings):
         checks.append(_check_address(name, address))
-    for name, address in _peers(settings):
+    for name, address in _peer_addresses(settings):
         checks.append(_check_peer(name, address))
     if settings.control is not None:
         checks.append(_check_folder(settings.control.data_folder))
-        checks.append(_check_list(settings.control.platform_list))
+        checks.append(_check_platform_list(settings.control.platform_list))
     if settings.tls is not None:
         checks.append(_check_tls(settings))
     return checks
 
 
-def _listening(settings: Settings) -> list[tuple[str, Address]]:
+def _listen_addresses(settings: Settings) -> list[tuple[str, Address]]:
     found = []
     if settings.control is not None:
         found.append(("control.listen", settings.control.listen))
@@ -73,7 +77,7 @@
     return found
 
 
-def _peers(settings: Settings) -> list[tuple[str, Address]]:
+def _peer_addresses(settings: Settings) -> list[tuple[str, Address]]:
     found = []
     if settings.control is not None:
         others = settings.control.replicas.items()
@@ -106,11 +110,11 @@
         socket.create_connection((address.host, address.port), CONNECT_TIMEOUT).close()
     except OSError as exc:
         return Check(name, False, f"{address}: {exc.strerror or exc}", ErrorCode.CONNECT_FAILED)
-    return Check(name, True, f"{address} can be reached")
+    return Check(name, True, f"{address} accepts connections")
 
 
 def _check_folder(path: str) -> Check:
-    """Write and sync a small file some times, and remove it again."""
+    """Write and sync a temporary file `SYNC_ROUNDS` times, and time each sync."""
     try:
         os.makedirs(path, exist_ok=True)
         times = []
@@ -124,11 +128,13 @@
     except OSError as exc:
         return Check("data folder", False, f"{path}: {exc.strerror}", ErrorCode.DISK_FAILED)
     slowest = max(times)
-    finding = f"{path} syncs in up to {slowest * 1000:.1f} ms"
-    return Check("data folder", slowest < SLOW_SYNC, finding, None if slowest < SLOW_SYNC else ErrorCode.DISK_FAILED)
+    detail = f"{path} syncs in up to {slowest * 1000:.1f} ms"
+    return Check(
+        "data folder", slowest < MAX_SYNC_TIME, detail, None if slowest < MAX_SYNC_TIME else ErrorCode.DISK_FAILED
+    )
 
 
-def _check_list(address: str) -> Check:
+def _check_platform_list(address: str) -> Check:
     try:
         instances = make_platform_list(address).read()
     except LanedockError as exc:
@@ -139,5 +145,5 @@
 def _check_tls(settings: Settings) -> Check:
     for path in (settings.tls.certificate, settings.tls.key, settings.tls.authority):
         if not os.access(path, os.R_OK):
-            return Check("tls", False, f"{path} can't be read", ErrorCode.NOT_AUTHENTIC)
-    return Check("tls", True, "the files can be read")
+            return Check("tls", False, f"{path} is not readable", ErrorCode.NOT_AUTHENTIC)
+    return Check("tls", True, "certificate, key and authority are readable")
--- a/packages/lanedock-cli/lanedock_cli/explain.py
+++ b/packages/lanedock-cli/lanedock_cli/explain.py
@@ -1,5 +1,5 @@
 # SPDX-License-Identifier: BSD-3-Clause
-"""The account of one request, gathered from several processes' logs."""
+"""Timeline of one request, collected from the logs of several processes."""
 
 import json
 from datetime import datetime, timedelta
@@ -10,19 +10,19 @@
 from lanedock.errors import ErrorCode, LanedockError
 from lanedock.telemetry import Event
 
-__all__ = ["Account", "Line", "gather", "print_account", "read_log"]
+__all__ = ["LogLine", "RequestTimeline", "collect_timeline", "print_timeline", "read_log"]
 
-# Lines of the processes concerned that are shown around the request.
-AROUND = timedelta(seconds=2)
-MAX_AROUND = 30
+# Other lines of the same processes are shown if they are at most this long before or after the request.
+CONTEXT_SPAN = timedelta(seconds=2)
+MAX_CONTEXT_LINES = 30
 _REQUEST_EVENTS = {
     f"E{event.number}" for event in Event if event.name.startswith("REQUEST_") or event in (Event.ANSWER_LOST,)
 }
-_LEFT_OUT = f"E{Event.LOG_LIMITED.number}"
-_PLAIN = ("time", "level", "message", "event", "process", "request", "after_ms")
+_LOG_LIMITED_EVENT = f"E{Event.LOG_LIMITED.number}"
+_COMMON_FIELDS = ("time", "level", "message", "event", "process", "request", "after_ms")
 
 
-class Line:
+class LogLine:
     """One line of a log.
 
     Attributes
@@ -30,6 +30,7 @@
     time : datetime
     event, process, request : str
     fields : dict
+        The whole JSON object.
     """
 
     __slots__ = ("event", "fields", "process", "request", "time")
@@ -42,75 +43,79 @@
         self.fields = value
 
     def text(self) -> str:
-        """Return it as a person reads it."""
-        fields = " ".join(f"{key}={value}" for key, value in self.fields.items() if key not in _PLAIN and value != "")
+        """Format the line for a terminal."""
+        fields = " ".join(
+            f"{key}={value}" for key, value in self.fields.items() if key not in _COMMON_FIELDS and value != ""
+        )
         after = self.fields.get("after_ms")
-        since = f"+{after:g} ms" if after is not None else ""
-        return f"{self.time:%H:%M:%S.%f}"[:-3] + f"  {self.process:<18} {since:>11}  {self.fields['message']}  {fields}"
+        offset = f"+{after:g} ms" if after is not None else ""
+        return (
+            f"{self.time:%H:%M:%S.%f}"[:-3] + f"  {self.process:<18} {offset:>11}  {self.fields['message']}  {fields}"
+        )
 
 
-class Account:
-    """What the logs say of one request.
+class RequestTimeline:
+    """Lines, error codes and gaps that the logs hold for one request.
 
     Attributes
     ----------
-    lines : list of Line
-        Of the request, in order of time.
-    around : list of Line
-        Of the same processes, shortly before and after.
+    lines : list of LogLine
+        Of the request, ordered by time.
+    context : list of LogLine
+        Of the same processes, within `CONTEXT_SPAN` of the request.
     missing : list of str
-        What the logs should hold and don't.
-    causes : list of ErrorCode
-        Codes that the request met, the last one first.
+        Descriptions of expected lines that the logs lack.
+    codes : list of ErrorCode
+        Error codes on the request's lines, the last one first.
     """
 
-    __slots__ = ("around", "causes", "lines", "missing")
+    __slots__ = ("codes", "context", "lines", "missing")
 
-    def __init__(self, lines: list[Line], around: list[Line], missing: list[str], causes: list[ErrorCode]):
+    def __init__(self, lines: list[LogLine], context: list[LogLine], missing: list[str], codes: list[ErrorCode]):
         self.lines = lines
-        self.around = around
+        self.context = context
         self.missing = missing
-        self.causes = causes
+        self.codes = codes
 
 
-def gather(request: str, paths: list[Path]) -> Account:
-    """Gather the account of a request.
+def collect_timeline(request: str, paths: list[Path]) -> RequestTimeline:
+    """Collect the timeline of a request.
 
     Parameters
     ----------
     request : str
-        Its id.
+        Id of the request.
     paths : list of Path
-        Logs of the processes that it may have met.
+        Logs of the processes that may have handled it.
 
     Raises
     ------
     LanedockError
-        `ErrorCode.FILE_UNREADABLE`
+        `ErrorCode.FILE_UNREADABLE`: a log is not readable.
     """
-    known = [line for path in paths for line in read_log(path)]
-    lines = [line for line in known if line.request == request]
+    all_lines = [line for path in paths for line in read_log(path)]
+    lines = [line for line in all_lines if line.request == request]
     lines.sort(key=lambda line: line.time)
     if not lines:
-        return Account([], [], [f"no line names {request}: it was answered well and not sampled, or not here"], [])
-    first, last = lines[0].time - AROUND, lines[-1].time + AROUND
-    met = {line.process for line in lines} | {str(line.fields.get("upstream", "")) for line in lines}
-    around = [
+        return RequestTimeline([], [], [f"no line names {request}: it succeeded unsampled, or a log is not given"], [])
+    first, last = lines[0].time - CONTEXT_SPAN, lines[-1].time + CONTEXT_SPAN
+    processes = {line.process for line in lines} | {str(line.fields.get("upstream", "")) for line in lines}
+    context = [
         line
-        for line in known
-        if line.process in met and first <= line.time <= last and line.event not in _REQUEST_EVENTS
+        for line in all_lines
+        if line.process in processes and first <= line.time <= last and line.event not in _REQUEST_EVENTS
     ]
-    around.sort(key=lambda line: line.time)
-    causes = []
+    context.sort(key=lambda line: line.time)
+    codes = []
     for line in reversed(lines):
         code = ErrorCode.find(str(line.fields.get("code", "")))
-        if code is not None and code not in causes:
-            causes.append(code)
-    return Account(lines, around, _find_missing(lines, around), causes)
+        if code is not None and code not in codes:
+            codes.append(code)
+    return RequestTimeline(lines, context, _find_missing(lines, context), codes)
 
 
-def read_log(path: Path) -> list[Line]:
-    """Read a log; what stands before a line's object, such as a collector's stamp, is passed over."""
+def read_log(path: Path) -> list[LogLine]:
+    """Read a log of JSON objects, one a line; skips text before an object, such as a log collector's prefix."""
     try:
         text = path.read_text(encoding="utf-8", errors="replace")
     except OSError as exc:
@@ -121,42 +126,44 @@
         if start < 0:
             continue
         try:
-            found.append(Line(json.loads(raw[start:])))
+            found.append(LogLine(json.loads(raw[start:])))
         except (ValueError, KeyError, TypeError, AttributeError):
-            continue  # another program's line
+            continue  # not a line of lanedock
     return found
 
 
-def _find_missing(lines: list[Line], around: list[Line]) -> list[str]:
-    """Name the processes that the request was sent to and that wrote nothing of it."""
+def _find_missing(lines: list[LogLine], context: list[LogLine]) -> list[str]:
+    """Describe the lines that the logs of the request's processes should hold but don't."""
     missing = []
     wrote = {line.process for line in lines}
     for line in lines:
         upstream = line.fields.get("upstream", "")
         if line.fields["message"] == Event.REQUEST_SENT.name and upstream not in wrote:
-            text = f"{upstream} was sent it and wrote nothing: it went well there, its log is not here, or it ended"
+            text = (
+                f"{upstream} was sent it but logged nothing: it succeeded, the log is not given, or the process ended"
+            )
             if text not in missing:
                 missing.append(text)
     if lines[-1].fields["message"] not in (Event.REQUEST_ANSWERED.name, Event.REQUEST_DONE.name):
-        missing.append("no line says how it was answered: that process ended first, or its log is not here")
-    left_out = [line for line in around if line.event == _LEFT_OUT]
+        missing.append("no line says how the request was answered: the process ended first, or its log is not given")
+    limited = [line for line in context if line.event == _LOG_LIMITED_EVENT]
     missing += [
-        f"{line.process} left out {line.fields.get('left_out')} lines at {line.time:%H:%M:%S}" for line in left_out
+        f"{line.process} suppressed {line.fields.get('left_out')} log lines at {line.time:%H:%M:%S}" for line in limited
     ]
     return missing
 
 
-def print_account(account: Account, console: Console) -> None:
-    """Print an account."""
-    for line in account.lines:
+def print_timeline(timeline: RequestTimeline, console: Console) -> None:
+    """Print the request's lines, its error codes, the gaps, and the context."""
+    for line in timeline.lines:
         console.print(line.text(), markup=False, highlight=False, soft_wrap=True)
-    for code in account.causes:
+    for code in timeline.codes:
         console.print(f"{code.code}: {code.meaning} {code.remedy}", markup=False, highlight=False, soft_wrap=True)
-    for text in account.missing:
+    for text in timeline.missing:
         console.print(f"missing: {text}", markup=False, highlight=False, soft_wrap=True)
-    if account.around:
-        console.print("around it, in the same processes:", markup=False, highlight=False)
-    for line in account.around[:MAX_AROUND]:
+    if timeline.context:
+        console.print("other lines of the same processes:", markup=False, highlight=False)
+    for line in timeline.context[:MAX_CONTEXT_LINES]:
         console.print(line.text(), markup=False, highlight=False, soft_wrap=True)
-    if len(account.around) > MAX_AROUND:
-        console.print(f"and {len(account.around) - MAX_AROUND} more", markup=False, highlight=False)
+    if len(timeline.context) > MAX_CONTEXT_LINES:
+        console.print(f"and {len(timeline.context) - MAX_CONTEXT_LINES} more", markup=False, highlight=False)
--- a/packages/lanedock-cli/lanedock_cli/render.py
+++ b/packages/lanedock-cli/lanedock_cli/render.py
@@ -1,5 +1,5 @@
 # SPDX-License-Identifier: BSD-3-Clause
-"""What people read: tables and texts; and the same for machines, as JSON."""
+"""Output of the commands, as tables and text or as JSON."""
 
 import json
 from datetime import datetime
@@ -39,7 +39,7 @@
 
 
 def print_json(value: object) -> None:
-    """Print a value for machines, on one line."""
+    """Print a value as JSON, on one line."""
     print(json.dumps(value, sort_keys=True))
 
 
@@ -48,7 +48,7 @@
 
 
 def print_findings(findings: list[Finding], as_json: bool) -> None:
-    """Print findings, a line each."""
+    """Print findings, one a line, or as one JSON object."""
     if as_json:
         values = []
         for finding in findings:
@@ -63,7 +63,7 @@
 
 
 def answer_value(reply: messages.SubmitReply) -> dict:
-    """Return an answer for machines."""
+    """Return the JSON value of the reply to a submission."""
     return {
         "answer": ANSWER_NAMES[reply.answer],
         "code": reply.code,
@@ -84,7 +84,7 @@
 
 
 def status_value(reply: messages.StatusReply) -> dict:
-    """Return a status for machines."""
+    """Return the JSON value of a status."""
     daemons = []
     for state in reply.daemons:
         daemons.append(
@@ -117,8 +117,8 @@
 
 
 def print_status(reply: messages.StatusReply, console: Console) -> None:
-    """Print which version is in force where, by zone."""
-    confirmed = "" if reply.confirmed else "  (no leader: what this instance last knew)"
+    """Print the version in force on each daemon, and the control instances."""
+    confirmed = "" if reply.confirmed else "  (no leader: last known state of the instance that answered)"
     console.print(f"accepted version {reply.accepted_version}{confirmed}", highlight=False)
     if reply.candidate_version:
         console.print(f"staging version {reply.candidate_version}", highlight=False)
@@ -156,7 +156,7 @@
 
 
 def history_value(reply: messages.HistoryReply) -> list[dict]:
-    """Return a history for machines, the newest first."""
+    """Return the JSON value of a history, the newest version first."""
     values = []
     for record in reply.records:
         values.append(
@@ -175,7 +175,7 @@
 
 
 def print_history(reply: messages.HistoryReply, console: Console) -> None:
-    """Print the versions and what became of them, the newest first."""
+    """Print versions with their outcomes, the newest first."""
     table = Table("version", "digest", "outcome", "submitted", "by", "why", box=None, header_style="bold")
     for value in history_value(reply):
         submitted = datetime.fromtimestamp(value["submitted_at"]).strftime("%Y-%m-%d %H:%M:%S")
@@ -185,7 +185,7 @@
 
 
 def print_differences(differences: list[Difference], console: Console) -> None:
-    """Print differences, a line each."""
+    """Print differences, one a line."""
     if not differences:
         console.print("no difference")
     marks = {"added": "+", "removed": "-", "changed": "~"}
@@ -197,7 +197,7 @@
 
 
 def quarantine_value(reply: messages.QuarantineReply) -> dict:
-    """Return the requests that are quarantined, for machines."""
+    """Return the JSON value of the quarantined requests."""
     requests = [
         {"request": item.digest.hex(), "crashes": list(item.crashes), "left_ms": item.left_ms}
         for item in reply.requests
@@ -206,7 +206,7 @@
 
 
 def print_quarantine(reply: messages.QuarantineReply, console: Console) -> None:
-    """Print the requests that are quarantined, a row each."""
+    """Print the quarantined requests, one a row."""
     if reply.cleared:
         console.print("cleared")
     table = Table("request", "upstreams that ended under it", "tried again in")
--- a/packages/lanedock-cli/lanedock_cli/summary.py
+++ b/packages/lanedock-cli/lanedock_cli/summary.py
@@ -1,5 +1,5 @@
 # SPDX-License-Identifier: BSD-3-Clause
-"""How all requests ended, by route, added up from several processes' totals."""
+"""Outcomes of all requests by route, summed over the totals that several processes log."""
 
 from collections.abc import Iterable
 from datetime import datetime
@@ -8,32 +8,33 @@
 from rich.console import Console
 
 from lanedock.telemetry import Event
-from lanedock_cli.explain import Line, read_log
+from lanedock_cli.explain import LogLine, read_log
 
 __all__ = ["Summary", "SummaryRow", "print_summary", "summarize"]
 
-_TOTALS = f"E{Event.REQUEST_TOTALS.number}"
+_TOTALS_EVENT = f"E{Event.REQUEST_TOTALS.number}"
 _HEADINGS = ("at", "side", "route", "outcome", "requests", "share", "mean ms", "mean wait ms")
-_PLAIN = ("time", "level", "message", "event", "process", "side", "route")
+_KEY_FIELDS = ("time", "level", "message", "event", "process", "side", "route")
 
 
 class SummaryRow:
-    """Requests of one side, route and span of time, by outcome.
+    """Requests of one side, route and interval, by outcome.
 
     Attributes
     ----------
-    at : datetime or None
-        Beginning of the span; None where the logs are one span.
+    start : datetime or None
+        Start of the interval; None if one row covers the whole logs.
     side, route : str
     counts : dict of str to int
+        Requests by outcome.
     taken_ms, waited_ms : dict of str to int
-        Sums by outcome, in milliseconds.
+        Total durations and total queue waits by outcome, in milliseconds.
     """
 
-    __slots__ = ("at", "counts", "route", "side", "taken_ms", "waited_ms")
+    __slots__ = ("counts", "route", "side", "start", "taken_ms", "waited_ms")
 
-    def __init__(self, at: datetime | None, side: str, route: str):
-        self.at = at
+    def __init__(self, start: datetime | None, side: str, route: str):
+        self.start = start
         self.side = side
         self.route = route
         self.counts: dict[str, int] = {}
@@ -42,13 +43,13 @@
 
     @property
     def total(self) -> int:
-        """All requests."""
+        """Number of requests with any outcome."""
         return sum(self.counts.values())
 
     def add(self, fields: dict) -> None:
         """Add the totals of one line."""
         for name, value in fields.items():
-            if name in _PLAIN or not isinstance(value, int):
+            if name in _KEY_FIELDS or not isinstance(value, int):
                 continue
             for suffix, sums in (("_waited_ms", self.waited_ms), ("_ms", self.taken_ms), ("", self.counts)):
                 if name.endswith(suffix):
@@ -58,13 +59,13 @@
 
 
 class Summary:
-    """Rows in the order of their span, side and route.
+    """Rows ordered by interval, side and route.
 
     Attributes
     ----------
     rows : list of SummaryRow
     processes : int
-        That wrote totals.
+        Number of processes that logged totals.
     """
 
     __slots__ = ("processes", "rows")
@@ -74,29 +75,29 @@
         self.processes = processes
 
 
-def summarize(paths: list[Path], every: float | None = None, process: str = "") -> Summary:
-    """Add up the totals that processes wrote.
+def summarize(paths: list[Path], interval: float | None = None, process: str = "") -> Summary:
+    """Sum the totals that processes logged.
 
     Parameters
     ----------
     paths : list of Path
         Logs.
-    every : float, optional
-        Seconds of a span; one for all where left out.
+    interval : float, optional
+        Length of an interval, in seconds; if omitted, one row covers the whole logs.
     process : str
-        Beginning of the names of the processes that count; empty for all.
+        Prefix of the names of the processes that are counted; empty for all.
 
     Raises
     ------
     LanedockError
-        `ErrorCode.FILE_UNREADABLE`
+        `ErrorCode.FILE_UNREADABLE`: a log is not readable.
     """
     lines = [line for path in paths for line in read_log(path)]
-    lines = [line for line in lines if line.event == _TOTALS and line.process.startswith(process)]
+    lines = [line for line in lines if line.event == _TOTALS_EVENT and line.process.startswith(process)]
     rows: dict[tuple, SummaryRow] = {}
     for line in lines:
-        at = _begin_of_span(line, every)
-        key = (at, line.fields["side"], line.fields["route"])
+        start = _interval_start(line, interval)
+        key = (start, line.fields["side"], line.fields["route"])
         if key not in rows:
             rows[key] = SummaryRow(*key)
         rows[key].add(line.fields)
@@ -104,14 +105,14 @@
     return Summary(ordered, len({line.process for line in lines}))
 
 
-def _begin_of_span(line: Line, every: float | None) -> datetime | None:
-    if every is None:
+def _interval_start(line: LogLine, interval: float | None) -> datetime | None:
+    if interval is None:
         return None
-    return datetime.fromtimestamp(line.time.timestamp() // every * every)
+    return datetime.fromtimestamp(line.time.timestamp() // interval * interval)
 
 
 def print_summary(summary: Summary, console: Console) -> None:
-    """Print a row for each outcome: its share, and its means in milliseconds."""
+    """Print a row for each outcome: count, share, mean duration and mean queue wait in milliseconds."""
     rows = [_HEADINGS, *(cells for row in summary.rows for cells in _cells(row))]
     widths = [max(len(cells[number]) for cells in rows) for number in range(len(_HEADINGS))]
     for cells in rows:
@@ -121,8 +122,8 @@
 
 
 def _cells(row: SummaryRow) -> Iterable[tuple[str, ...]]:
-    at = f"{row.at:%H:%M:%S}" if row.at is not None else ""
+    start = f"{row.start:%H:%M:%S}" if row.start is not None else ""
     for outcome, count in sorted(row.counts.items(), key=lambda item: -item[1]):
         mean = row.taken_ms.get(outcome, 0) / count if count else 0.0
         wait = row.waited_ms.get(outcome, 0) / count if count else 0.0
-        yield at, row.side, row.route, outcome, str(count), f"{count / row.total:.3f}", f"{mean:.1f}", f"{wait:.1f}"
+        yield start, row.side, row.route, outcome, str(count), f"{count / row.total:.3f}", f"{mean:.1f}", f"{wait:.1f}"
--- a/packages/lanedock-cli/lanedock_cli/tests/test_explain.py
+++ b/packages/lanedock-cli/lanedock_cli/tests/test_explain.py
@@ -1,10 +1,9 @@
 # SPDX-License-Identifier: BSD-3-Clause
-"""Tests of the account of one request, from logs that several processes wrote.
+"""Tests of the timeline of one request, collected from the logs of several processes.
 
-An account showed an upstream's refusal after the caller's line that says how it was answered.
-A request's lines are written at its end, and carried the time of that, in whole milliseconds:
-what two processes decided within one, or wrote late, was told in any order. The evidence was
-such an account, with both lines in the same millisecond.
+Guards against lines in the wrong order, such as an upstream's refusal after the caller's answer.
+That happens if lines carry the time at which they are written, at the end of the request, or
+whole milliseconds only: two processes often decide within the same millisecond.
 """
 
 import logging
@@ -14,11 +13,11 @@
 
 from lanedock.telemetry import Event, EventLogger, RequestLogger
 from lanedock.telemetry.log import configure_logging
-from lanedock_cli.explain import gather
+from lanedock_cli.explain import collect_timeline
 
 
 class _Process:
-    """A process that logs into a file of its own."""
+    """A process with its own log file."""
 
     def __init__(self, name, directory):
         self.path = directory / f"{name}.log"
@@ -32,7 +31,7 @@
         self._log = self._requests.begin("id-1", 0.0)
 
     def note(self, event, **particulars):
-        """Decide, at least two microseconds after what was decided before: less than a message takes."""
+        """Log a decision, at least 2 us after the previous one; a message between processes takes longer."""
         begun = time.time()
         while time.time() < begun + 2e-6:
             pass
@@ -50,19 +49,19 @@
 
 @pytest.fixture
 def processes(tmp_path):
-    """Make a caller's process and an upstream's."""
+    """Make the processes of a caller and of an upstream."""
     root = logging.getLogger()
     before = (list(root.handlers), root.level)
-    made = [_Process("caller", tmp_path), _Process("upstream", tmp_path)]
-    yield made
-    for process in made:
+    pair = [_Process("caller", tmp_path), _Process("upstream", tmp_path)]
+    yield pair
+    for process in pair:
         process.close()
     root.handlers[:], root.level = before
 
 
 @pytest.mark.parametrize("late", ["caller", "upstream"])
-def test_decisions_are_told_in_the_order_in_which_they_were_made(processes, late):
-    """Whichever process writes its lines last; all of them within far less than a millisecond."""
+def test_timeline_lists_decisions_in_the_order_in_which_they_were_made(processes, late):
+    """The order holds whichever process writes last, with all decisions within one millisecond."""
     caller, upstream = processes
     caller.note(Event.REQUEST_SENT, upstream="upstream")
     upstream.note(Event.REQUEST_REFUSED, code="LD3005")
@@ -72,13 +71,13 @@
         process.end()
         time.sleep(0.01)
 
-    account = gather("id-1", [caller.path, upstream.path])
-    told = [line.fields["message"] for line in account.lines]
-    assert told == ["REQUEST_SENT", "REQUEST_REFUSED", "REQUEST_TRY_ENDED", "REQUEST_ANSWERED"]
-    assert not account.missing
+    timeline = collect_timeline("id-1", [caller.path, upstream.path])
+    messages = [line.fields["message"] for line in timeline.lines]
+    assert messages == ["REQUEST_SENT", "REQUEST_REFUSED", "REQUEST_TRY_ENDED", "REQUEST_ANSWERED"]
+    assert not timeline.missing
 
 
-def test_a_decision_has_the_time_at_which_it_was_made(processes):
+def test_line_carries_the_time_of_its_decision_not_of_its_writing(processes):
     caller, _ = processes
     before = time.time()
     caller.note(Event.REQUEST_ROUTED, route="r")
@@ -86,6 +85,6 @@
     time.sleep(0.01)
     caller.end()
 
-    (line,) = gather("id-1", [caller.path]).lines
+    (line,) = collect_timeline("id-1", [caller.path]).lines
     microsecond = 1e-6
     assert before - microsecond <= line.time.timestamp() <= after
--- a/packages/lanedock-cli/lanedock_cli/tests/test_summary.py
+++ b/packages/lanedock-cli/lanedock_cli/tests/test_summary.py
@@ -19,7 +19,7 @@
 
 @pytest.fixture
 def logs(tmp_path):
-    """Write two processes' logs; what a collector puts before a line, and other lines, are passed over."""
+    """Write the logs of two processes, with a log collector's prefix and a foreign line, which are to be skipped."""
     one, two = tmp_path / "one.log", tmp_path / "two.log"
     one.write_text(
         "stamp " + _line("d-1", 0.1, timely=3, timely_ms=30) + "\nnot a line\n" + _line("d-1", 2.5, late=1, late_ms=400)
@@ -29,7 +29,7 @@
     return [one, two]
 
 
-def test_totals_of_several_processes_are_added(logs):
+def test_totals_of_several_processes_are_summed(logs):
     summary = summarize(logs)
     assert summary.processes == 2
     (row,) = summary.rows
@@ -39,20 +39,20 @@
     assert row.total == 6
 
 
-def test_spans_and_processes_are_told_apart(logs):
-    summary = summarize(logs, every=2.0, process="d-1")
+def test_rows_are_split_by_interval_and_filtered_by_process(logs):
+    summary = summarize(logs, interval=2.0, process="d-1")
     assert [row.counts for row in summary.rows] == [{"timely": 3}, {"late": 1}]
     assert summary.processes == 1
 
 
-def test_it_prints_shares_and_means(logs):
+def test_print_summary_shows_shares_and_means(logs):
     text = io.StringIO()
     print_summary(summarize(logs), Console(file=text, width=120))
     line = next(line for line in text.getvalue().splitlines() if "timely" in line)
     assert line.split() == ["caller", "r", "timely", "4", "0.667", "20.0", "0.0"]
 
 
-def test_what_totals_write_is_what_the_summary_reads(tmp_path):
+def test_summary_reads_the_totals_that_request_totals_logs(tmp_path):
     path = tmp_path / "log"
     with path.open("wb") as file:
         writer = configure_logging("INFO", file.fileno())
--- a/packages/lanedock-cli/lanedock_cli/traces.py
+++ b/packages/lanedock-cli/lanedock_cli/traces.py
@@ -1,5 +1,5 @@
 # SPDX-License-Identifier: BSD-3-Clause
-"""Drawing of recorded spans as trees."""
+"""Rendering of recorded spans as trees."""
 
 import json
 from datetime import datetime
@@ -14,17 +14,17 @@
 
 
 class _Span:
-    __slots__ = ("duration", "name", "parent", "process", "span", "start", "status", "trace")
+    __slots__ = ("duration_ms", "name", "parent_id", "process", "span_id", "start", "status", "trace_id")
 
     def __init__(self, value: dict):
-        self.trace = value["context"]["trace_id"]
-        self.span = value["context"]["span_id"]
-        self.parent = value.get("parent_id")
+        self.trace_id = value["context"]["trace_id"]
+        self.span_id = value["context"]["span_id"]
+        self.parent_id = value.get("parent_id")
         self.name = value["name"]
         self.process = value["resource"]["attributes"].get("service.name", "")
         self.status = value["attributes"].get("http.status_code", "")
         self.start = datetime.fromisoformat(value["start_time"])
-        self.duration = (datetime.fromisoformat(value["end_time"]) - self.start).total_seconds() * 1000
+        self.duration_ms = (datetime.fromisoformat(value["end_time"]) - self.start).total_seconds() * 1000
 
 
 def print_traces(path: Path, console: Console) -> None:
@@ -33,11 +33,11 @@
     Raises
     ------
     LanedockError
-        The file can't be read, or a line is no span.
+        The file is not readable, or a line is not a span.
     """
     traces: dict[str, list[_Span]] = {}
     for span in _read(path):
-        traces.setdefault(span.trace, []).append(span)
+        traces.setdefault(span.trace_id, []).append(span)
     for name, spans in traces.items():
         console.print(_draw(name, sorted(spans, key=lambda span: span.start)))
 
@@ -60,8 +60,8 @@
     tree = Tree(f"trace {name}")
     branches = {}
     for span in spans:
-        parent = branches.get(span.parent, tree)
+        parent = branches.get(span.parent_id, tree)
         offset = (span.start - spans[0].start).total_seconds() * 1000
-        label = f"{span.process}: {span.name} {span.status}  +{offset:.1f} ms, {span.duration:.1f} ms"
-        branches[span.span] = parent.add(label)
+        label = f"{span.process}: {span.name} {span.status}  +{offset:.1f} ms, {span.duration_ms:.1f} ms"
+        branches[span.span_id] = parent.add(label)
     return tree
