--- a/packages/lanedock/lanedock/testing/__init__.py
+++ b/packages/lanedock/lanedock/testing/__init__.py
@@ -1,5 +1,5 @@
 # SPDX-License-Identifier: BSD-3-Clause
-"""Stand-ins for what lies around lanedock, for tests and for embedders."""
+"""Stand-in applications, load generation and local meshes, for tests and for embedders."""
 
 from lanedock.testing.upstream import StandInUpstream, UpstreamBehaviour
 
--- a/packages/lanedock/lanedock/testing/__main__.py
+++ b/packages/lanedock/lanedock/testing/__main__.py
@@ -1,8 +1,8 @@
 # SPDX-License-Identifier: BSD-3-Clause
 """Serves stand-in applications: ``python -m lanedock.testing FILE``.
 
-FILE is a JSON list of objects with name, host, port, work (seconds) and slots; and with bad, an
-object with the fields of `BadVersion`, where the version is a bad one.
+FILE is a JSON list of objects with the keys name, host, port, work (seconds) and slots. The
+optional key bad holds the parameters of `BadVersion`, for an application of a bad version.
 """
 
 import json
@@ -14,10 +14,10 @@
 
 
 def main(path: str) -> None:
-    """Serve the applications that a file lists, until the process is ended."""
+    """Serve the applications that a file lists, until the process is terminated."""
     with open(path, encoding="utf-8") as file:
-        listed = json.load(file)
-    for item in listed:
+        applications = json.load(file)
+    for item in applications:
         behaviour = UpstreamBehaviour(item.get("work", 0.0), item.get("slots", 12))
         if item.get("bad"):
             behaviour.bad = BadVersion(**item["bad"])
--- a/packages/lanedock/lanedock/testing/load.py
+++ b/packages/lanedock/lanedock/testing/load.py
@@ -1,9 +1,9 @@
 # SPDX-License-Identifier: BSD-3-Clause
-"""An open-loop load tool: ``python -m lanedock.testing.load JSON``.
+"""An open-loop load generator: ``python -m lanedock.testing.load JSON``.
 
-Requests start at their planned times whatever became of the ones before, and a
-latency counts from the planned time, so a stall shows in all requests that it
-held up (coordinated omission is corrected by construction).
+Requests start at their planned times, whether or not earlier ones have ended, and a
+latency is measured from the planned time. A stall therefore raises the latency of
+all requests that it delays, which avoids coordinated omission.
 """
 
 import json
@@ -17,27 +17,29 @@
 
 __all__ = ["LoadPlan", "LoadResult", "run_load"]
 
-LONGEST_US = 60_000_000
-DIGITS = 3
+# Largest latency of the histogram, in microseconds, and its precision in significant digits.
+MAX_LATENCY_US = 60_000_000
+SIGNIFICANT_DIGITS = 3
 
 
 class LoadPlan:
-    """What to send.
+    """Target, arrival rate and duration of a load run.
 
     Parameters
     ----------
     address : tuple of (str, int)
     rate : float
-        Requests a second.
+        Requests per second, on average.
     duration : float
-        Seconds.
+        Seconds, with the warm-up.
     head : str
-        The request up to the empty line, without it.
+        Request line and headers, separated by newlines, without the empty line.
     in_time : float
-        Seconds within which an answer counts as served in time.
+        Largest latency, in seconds, of an answer that counts as good.
     warm_up : float
         Seconds at the beginning that are not counted.
     seed : int
+        Of the random arrival times.
     """
 
     __slots__ = ("address", "duration", "head", "in_time", "rate", "seed", "warm_up")
@@ -53,28 +55,28 @@
 
 
 class LoadResult:
-    """What came of it.
+    """Latencies and statuses of a load run.
 
     Attributes
     ----------
     histogram : HdrHistogram
-        Of latencies in microseconds, of all answers.
+        Latencies of all counted requests, in microseconds.
     statuses : dict of int to int
-        0 stands for a broken connection.
+        Requests by HTTP status; 0 stands for a broken connection.
     good : int
-        Answers 200 served in time.
+        Answers with status 200 within `LoadPlan.in_time`.
     seconds : float
-        Time that was counted.
+        Duration without the warm-up.
     """
 
     def __init__(self, seconds: float):
-        self.histogram = HdrHistogram(1, LONGEST_US, DIGITS)
+        self.histogram = HdrHistogram(1, MAX_LATENCY_US, SIGNIFICANT_DIGITS)
         self.statuses: dict[int, int] = {}
         self.good = 0
         self.seconds = seconds
 
     def summary(self) -> dict:
-        """Return the figures; latencies in milliseconds."""
+        """Return percentiles of latency in milliseconds, good answers per second, and statuses."""
         percentiles = {f"p{p:g}": self.histogram.get_value_at_percentile(p) / 1000 for p in (50, 90, 99, 99.9)}
         return {**percentiles, "good_per_second": self.good / self.seconds, "statuses": self.statuses}
 
@@ -93,19 +95,19 @@
         planned = 0.0
         tasks = []
         while planned < plan.duration:
-            # Poisson arrivals: callers don't wait for each other.
+            # Poisson arrivals model independent callers.
             planned += rng.expovariate(plan.rate)
             gevent.sleep(max(0.0, begin + planned - time.monotonic()))
             tasks.append(gevent.spawn(self.send, begin + planned, planned >= plan.warm_up))
         gevent.joinall(tasks, timeout=10)
         return self.result
 
-    def send(self, planned_at: float, counts: bool) -> None:
+    def send(self, planned_at: float, is_counted: bool) -> None:
         try:
             status = self.exchange()
         except OSError:
             status = 0
-        if not counts:
+        if not is_counted:
             return
         latency = time.monotonic() - planned_at
         result = self.result
@@ -118,11 +120,11 @@
         conn = self.idle.pop() if self.idle else self.connect()
         try:
             conn.sendall(self.request)
-            status, keep = read_answer(conn)
+            status, keep_alive = read_response(conn)
         except BaseException:
             conn.close()
             raise
-        if keep:
+        if keep_alive:
             self.idle.append(conn)
         else:
             conn.close()
@@ -134,32 +136,40 @@
         return conn
 
 
-def read_answer(conn) -> tuple[int, bool]:
-    """Read an answer with its length in the head; returns status and whether to keep the connection."""
+def read_response(conn) -> tuple[int, bool]:
+    """Read a response that has a Content-Length.
+
+    Returns
+    -------
+    int
+        Status.
+    bool
+        Whether the connection may be reused.
+    """
     data = b""
     while b"\r\n\r\n" not in data:
-        more = conn.recv(65536)
-        if not more:
-            raise ConnectionError("no answer")
-        data += more
+        chunk = conn.recv(65536)
+        if not chunk:
+            raise ConnectionError("connection closed before the end of the response head")
+        data += chunk
     head, _, body = data.partition(b"\r\n\r\n")
     lowered = head.lower()
     length = int(lowered.partition(b"content-length:")[2].split(b"\r\n")[0])
     while len(body) < length:
-        more = conn.recv(65536)
-        if not more:
-            raise ConnectionError("cut answer")
-        body += more
+        chunk = conn.recv(65536)
+        if not chunk:
+            raise ConnectionError(f"response body truncated: got {len(body)} of {length} bytes")
+        body += chunk
     return int(head[9:12]), b"connection: close" not in lowered
 
 
 def run_load(plan: LoadPlan) -> LoadResult:
-    """Send what a plan says, in this process."""
+    """Run a plan in this process, and return its result."""
     return _Runner(plan).run()
 
 
 def main() -> None:
-    """Run the plan given as JSON, and print the figures as JSON."""
+    """Run the plan given as JSON, and print the result as JSON."""
     print(json.dumps(run_load(LoadPlan(**json.loads(sys.argv[1]))).summary()))
 
 
--- a/packages/lanedock/lanedock/testing/mesh.py
+++ b/packages/lanedock/lanedock/testing/mesh.py
@@ -1,5 +1,5 @@
 # SPDX-License-Identifier: BSD-3-Clause
-"""A mesh of real processes on loopback, for demos, tests and benches."""
+"""A mesh of real processes on loopback, for demos, tests and benchmarks."""
 
 import http.client
 import json
@@ -13,25 +13,26 @@
 __all__ = ["LocalMesh", "MeshProcess"]
 
 HOST = "127.0.0.1"
+# Seconds.
 START_TIMEOUT = 30.0
 STOP_TIMEOUT = 30.0
 
 
-# Below the range from which the kernel takes ports for outgoing connections, so
-# that no connection takes one between its choice and its use.
+# Below the kernel's ephemeral range, so that no outgoing connection takes a port
+# between its selection here and its use by a process.
 _PORTS = range(10_000, 32_000)
-_taken: set[int] = set()
+_reserved: set[int] = set()
 
 
 def _free_ports(count: int) -> list[int]:
-    """Find ports that nobody listens on, and that no mesh of this process has had."""
+    """Return ports on which no process listens and which no mesh of this process has used."""
     found = []
     position = os.getpid() * 97
     while len(found) < count:
         port = _PORTS[position % len(_PORTS)]
         position += 1
-        if port not in _taken and _is_free(port):
-            _taken.add(port)
+        if port not in _reserved and _is_free(port):
+            _reserved.add(port)
             found.append(port)
     return found
 
@@ -53,8 +54,9 @@
     ----------
     name : str
     settings : dict
-        As written to its settings file; change it before a restart.
+        Content of its settings file, which each start writes anew.
     popen : subprocess.Popen or None
+        None before the first start.
     """
 
     def __init__(self, name: str, folder: Path, settings: dict):
@@ -68,24 +70,24 @@
 
     @property
     def log_path(self) -> Path:
-        """Where its log goes."""
+        """Path of the log file."""
         return self._folder / f"{self.name}.log"
 
     def start(self, *arguments: str) -> None:
-        """Start, or start again."""
+        """Start or restart the process, with further command-line arguments."""
         path = self._folder / f"{self.name}.jsonc"
         path.write_text(json.dumps(self.settings, indent=2), encoding="utf-8")
-        line = [sys.executable, "-m", "lanedock_daemon.app", "--settings", str(path), *arguments]
+        command = [sys.executable, "-m", "lanedock_daemon.app", "--settings", str(path), *arguments]
         with open(self.log_path, "ab") as log:
-            self.popen = subprocess.Popen(line, stdout=log, stderr=log)
+            self.popen = subprocess.Popen(command, stdout=log, stderr=log)
 
     def kill(self) -> None:
-        """End it without notice."""
+        """Kill the process, and wait for its end."""
         self.popen.kill()
         self.popen.wait()
 
     def log(self) -> str:
-        """Return what it has logged."""
+        """Return the content of the log file."""
         return self.log_path.read_text(encoding="utf-8")
 
 
@@ -112,21 +114,21 @@
 
 
 class LocalMesh:
-    """Control instances, entry daemons, upstreams and their daemons.
+    """A mesh of control instances, entry daemons, upstreams and their daemons.
 
     Parameters
     ----------
     folder : Path
-        For settings, logs and data folders.
+        Holds settings, logs and data folders.
     zones : list of str
     services : dict of str to int
-        Upstreams of each service, spread over the zones in turn.
+        Number of upstreams of each service; they are distributed round-robin over the zones.
     control : dict, optional
-        Further settings of the control instances.
+        Additional settings of the control instances.
     work : float
         Seconds that an upstream works on a request.
     entries : int
-        Entry daemons in each zone.
+        Number of entry daemons in each zone.
     """
 
     def __init__(
@@ -143,7 +145,7 @@
         self._work = work
         self._entries = entries
         self._stand_ins: subprocess.Popen | None = None
-        self._bad: dict[str, dict] = {}
+        self._bad_versions: dict[str, dict] = {}
         self._instances: list[dict] = []
         self.folder.mkdir(parents=True, exist_ok=True)
         self._prepare()
@@ -166,7 +168,7 @@
                 zone = self.zones[position % len(self.zones)]
                 self._add_upstream(f"{service}-{number}", service, zone, replicas, ports)
                 position += 1
-        self.write_list()
+        self.write_platform_list()
 
     def _add_control(self, zone: str, replicas: dict[str, str]) -> None:
         name = f"control-{zone}"
@@ -213,12 +215,12 @@
 
     @property
     def processes(self) -> list[MeshProcess]:
-        """All processes of lanedock, control first."""
+        """All lanedock processes, control instances first."""
         return [*self.controls.values(), *self.entries.values(), *self.upstreams.values()]
 
     @property
     def control_addresses(self) -> str:
-        """For ``lanedock --control``."""
+        """Value for the option ``--control`` of the command ``lanedock``."""
         return ",".join(process.settings["control"]["listen"] for process in self.controls.values())
 
     def __enter__(self) -> "LocalMesh":
@@ -232,7 +234,7 @@
             self.stop_stand_ins()
 
     def start(self) -> None:
-        """Start everything, and wait until every address is listened on."""
+        """Start all processes, and wait until each listens on its address."""
         self.start_stand_ins()
         for process in self.controls.values():
             process.start("--initialize")
@@ -242,17 +244,17 @@
             self.wait_listening(process)
 
     def start_stand_ins(self) -> None:
-        """Start the upstreams' applications, all in one process."""
-        listed = []
+        """Start the upstreams' stand-in applications, all in one process."""
+        applications = []
         for name, (host, port) in self.applications.items():
-            item = {"name": name, "host": host, "port": port, "work": self._work, "bad": self._bad.get(name)}
-            listed.append(item)
+            item = {"name": name, "host": host, "port": port, "work": self._work, "bad": self._bad_versions.get(name)}
+            applications.append(item)
         path = self.folder / "applications.json"
-        path.write_text(json.dumps(listed), encoding="utf-8")
+        path.write_text(json.dumps(applications), encoding="utf-8")
         self._stand_ins = subprocess.Popen([sys.executable, "-m", "lanedock.testing", str(path)])
 
     def stop_stand_ins(self) -> None:
-        """End the upstreams' applications without notice."""
+        """Kill the process of the upstreams' stand-in applications."""
         self._stand_ins.kill()
         self._stand_ins.wait()
 
@@ -268,21 +270,32 @@
     ) -> None:
         """Wait until a condition holds.
 
+        Parameters
+        ----------
+        condition : callable
+            Returns whether it holds.
+        what : str
+            Description of the condition, for the error message.
+        process : MeshProcess, optional
+            Process on which the condition depends.
+        timeout : float
+            Seconds.
+
         Raises
         ------
         TimeoutError
-            It does not within `timeout` seconds, or the process has ended.
+            The condition does not hold within `timeout` seconds, or `process` has ended.
         """
-        until = time.monotonic() + timeout
+        deadline = time.monotonic() + timeout
         while not condition():
             if process is not None and process.popen.poll() is not None:
-                raise TimeoutError(f"{process.name} has ended:\n{process.log()}")
-            if time.monotonic() > until:
-                raise TimeoutError(f"not in {timeout} s: {what}")
+                raise TimeoutError(f"{process.name} has ended before: {what}; its log:\n{process.log()}")
+            if time.monotonic() > deadline:
+                raise TimeoutError(f"timed out after {timeout} s waiting for: {what}")
             time.sleep(0.02)
 
     def stop(self) -> list[int]:
-        """Stop everything politely; returns the exit codes."""
+        """Terminate all running lanedock processes gracefully, and return their exit codes."""
         order = [*self.entries.values(), *self.upstreams.values(), *self.controls.values()]
         running = [process for process in order if process.popen is not None and process.popen.poll() is None]
         for process in running:
@@ -290,45 +303,45 @@
         return [process.popen.wait(STOP_TIMEOUT) for process in running]
 
     def usage(self, process: MeshProcess) -> "Usage":
-        """Return what a process has used so far, from /proc."""
+        """Return the processor time and memory of a process, from /proc."""
         return Usage(process.popen.pid)
 
     # ---------------------------------------------------------------- platform
 
-    def write_list(self) -> None:
-        """Write the platform's list, replacing it at once."""
+    def write_platform_list(self) -> None:
+        """Replace the platform's list atomically."""
         path = self.folder / "platform.json"
-        fresh = self.folder / "platform.json.new"
-        fresh.write_text(json.dumps({"instances": self._instances}), encoding="utf-8")
-        fresh.replace(path)
+        new_path = self.folder / "platform.json.new"
+        new_path.write_text(json.dumps({"instances": self._instances}), encoding="utf-8")
+        new_path.replace(path)
 
     def set_state(self, name: str, state: str | None) -> None:
-        """Change an instance's state in the list; None takes it out."""
+        """Set an instance's state in the platform's list; None removes the instance."""
         self._instances = [item for item in self._instances if item["name"] != name or state is not None]
         for item in self._instances:
             if item["name"] == name:
                 item["state"] = state
-        self.write_list()
+        self.write_platform_list()
 
     def set_version(self, name: str, version: str, **bad: object) -> None:
-        """Set the version of an instance's application in the list, and what is wrong with it from its next start.
+        """Set the version of an instance's application in the list, and its faults from the next start on.
 
         Parameters
         ----------
         name, version : str
         bad : dict
-            See `BadVersion`; nothing is wrong where it is left out.
+            Parameters of `BadVersion`; without any, the version is good.
         """
-        self._bad[name] = bad
+        self._bad_versions[name] = bad
         for item in self._instances:
             if item["name"] == name:
                 item["version"] = version
-        self.write_list()
+        self.write_platform_list()
 
     # ----------------------------------------------------------------- requests
 
     def request(self, method: str, path: str, body: bytes = b"", entry: int = 0, headers: dict | None = None):
-        """Send a request through an entry daemon.
+        """Send a request through the entry daemon with index `entry`.
 
         Returns
         -------
@@ -342,8 +355,8 @@
         conn = http.client.HTTPConnection(host, int(port), timeout=30)
         try:
             conn.request(method, path, body=body or None, headers=headers or {})
-            answer = conn.getresponse()
-            return answer.status, answer.read()
+            response = conn.getresponse()
+            return response.status, response.read()
         finally:
             conn.close()
 
--- a/packages/lanedock/lanedock/testing/tests/test_upstream.py
+++ b/packages/lanedock/lanedock/testing/tests/test_upstream.py
@@ -1,5 +1,5 @@
 # SPDX-License-Identifier: BSD-3-Clause
-"""Tests of the stand-in upstream: it has to fail as it is set to."""
+"""Tests of the stand-in upstream, which must show the configured faults, and of the load generator."""
 
 import json
 
@@ -9,15 +9,15 @@
 
 from lanedock.clock import monotonic
 from lanedock.testing import StandInUpstream, UpstreamBehaviour
-from lanedock.testing.load import LoadPlan, read_answer, run_load
+from lanedock.testing.load import LoadPlan, read_response, run_load
 
 
 @pytest.fixture
 def upstream():
-    made = StandInUpstream("u", behaviour=UpstreamBehaviour(work=0.01, slots=2))
-    made.start()
-    yield made
-    made.stop()
+    stand_in = StandInUpstream("u", behaviour=UpstreamBehaviour(work=0.01, slots=2))
+    stand_in.start()
+    yield stand_in
+    stand_in.stop()
 
 
 def _send(upstream, headers: str = ""):
@@ -28,7 +28,7 @@
 
 def _status(upstream, headers: str = "") -> int:
     with _send(upstream, headers) as conn:
-        return read_answer(conn)[0]
+        return read_response(conn)[0]
 
 
 def _wait_until(condition) -> None:
@@ -37,12 +37,12 @@
             gevent.sleep(0.005)
 
 
-def test_runs_are_counted_by_id(upstream):
+def test_runs_are_counted_by_request_id(upstream):
     assert [_status(upstream) for _ in range(3)] == [200] * 3
     assert upstream.runs == {"7": 3}
 
 
-def test_a_caller_that_goes_cancels_its_request(upstream):
+def test_request_is_cancelled_when_its_caller_closes_the_connection(upstream):
     upstream.behaviour.work = 60
     conn = _send(upstream)
     _wait_until(lambda: upstream.in_progress == 1)
@@ -50,7 +50,7 @@
     _wait_until(lambda: upstream.cancelled == 1 and upstream.in_progress == 0)
 
 
-def test_no_more_than_its_slots_are_worked_on(upstream):
+def test_requests_in_progress_never_exceed_the_slots(upstream):
     upstream.behaviour.work = 60
     conns = [_send(upstream) for _ in range(5)]
     _wait_until(lambda: upstream.in_progress == 2)
@@ -61,12 +61,12 @@
 
 
 @pytest.mark.parametrize(("headers", "status"), [("X-Request-Deadline-Ms: 5\r\n", 503), ("", 200)])
-def test_what_can_not_end_in_time_is_not_begun(upstream, headers, status):
+def test_request_that_would_miss_its_deadline_is_refused_without_a_run(upstream, headers, status):
     assert _status(upstream, headers) == status
     assert upstream.runs.get("7", 0) == (1 if status == 200 else 0)
 
 
-def test_it_sheds_drains_starts_cold_and_cuts_as_told(upstream):
+def test_shed_draining_cold_start_and_cut_connection_follow_the_behaviour(upstream):
     behaviour = upstream.behaviour
     behaviour.shed = True
     assert _status(upstream) == 503
@@ -79,23 +79,23 @@
     assert upstream._work_time() == pytest.approx(0.03)
     behaviour.cut_after = 4
     with pytest.raises(OSError), _send(upstream) as conn:
-        read_answer(conn)
+        read_response(conn)
 
 
-def test_its_load_endpoint_tells_what_it_is_told_to(upstream):
-    upstream.behaviour.told_load = 0.99
+def test_load_endpoint_reports_the_configured_load(upstream):
+    upstream.behaviour.reported_load = 0.99
     with socket.create_connection(upstream.address, timeout=10) as conn:
         conn.sendall(b"GET /.load HTTP/1.1\r\nHost: h\r\nConnection: close\r\n\r\n")
         data = b""
-        while more := conn.recv(65536):
-            data += more
+        while chunk := conn.recv(65536):
+            data += chunk
     assert json.loads(data.partition(b"\r\n\r\n")[2]) == {"load": 0.99}
 
 
-def test_the_load_tool_counts_a_stall_in_all_that_it_held_up(upstream):
+def test_load_generator_counts_a_stall_in_all_requests_that_it_delays(upstream):
     upstream.behaviour.work = 0.3
     plan = LoadPlan(upstream.address, 20.0, 2.0, "GET /x HTTP/1.1\nHost: h", in_time=0.6, warm_up=0.0)
     result = run_load(plan)
-    # Two slots of 0.3 s serve 7 a second of the 20: the queue shows as latency.
+    # Two slots of 0.3 s serve 7 of the 20 requests per second; the queue shows as latency.
     assert result.histogram.get_value_at_percentile(90) > 1_000_000
     assert 0 < result.good < sum(result.statuses.values())
--- a/packages/lanedock/lanedock/testing/upstream.py
+++ b/packages/lanedock/lanedock/testing/upstream.py
@@ -1,8 +1,7 @@
 # SPDX-License-Identifier: BSD-3-Clause
-"""A stand-in for an upstream's application: a small WSGI server with faults.
+"""A stand-in for an upstream's application: a small WSGI server with configurable faults.
 
-It counts how often each request id ran, so a test can tell whether a request
-ran more than once.
+It counts the runs of each request id, so that a test can detect repeated requests.
 """
 
 import json
@@ -16,27 +15,27 @@
 
 __all__ = ["BadVersion", "StandInUpstream", "UpstreamBehaviour"]
 
-# How often a request's work looks whether its caller is still there, in seconds.
-CANCEL_INTERVAL = 0.01
+# Seconds between two checks whether a request's caller has closed its connection.
+CANCEL_CHECK_INTERVAL = 0.01
 ID_HEADER = "HTTP_X_REQUEST_ID"
 DEADLINE_HEADER = "HTTP_X_REQUEST_DEADLINE_MS"
 
 
 class BadVersion:
-    """What is wrong with a version of an application.
+    """Faults of a bad version of an application.
 
     Parameters
     ----------
     share : float
-        Of the requests that it is bad on, 0 to 1.
+        Share of affected requests, 0 to 1, among those that meet the other conditions.
     factor : float
-        How many times as long these take; failures where it is 0.
+        Multiplies the work time of affected requests; 0 makes them fail with status 500.
     path : str
-        Beginning of the paths on which it is bad.
+        Prefix of the affected paths.
     after : float
-        Seconds after its first request from which it is bad.
+        Seconds between the first request and the beginning of the fault.
     above : int
-        Requests in progress above which it is bad.
+        Number of requests in progress above which requests are affected.
     """
 
     __slots__ = ("above", "after", "factor", "path", "share")
@@ -51,35 +50,37 @@
     def __repr__(self) -> str:
         return f"<BadVersion share={self.share} factor={self.factor} path={self.path}>"
 
-    def hits(self, path: str, age: float, in_progress: int) -> bool:
-        """Tell whether a request meets it: `age` seconds after the first, beside others in progress."""
+    def affects(self, path: str, age: float, in_progress: int) -> bool:
+        """Decide at random whether a request that comes `age` seconds after the first one is affected."""
         if not path.startswith(self.path) or age < self.after or in_progress <= self.above:
             return False
         return random.random() < self.share
 
 
 class UpstreamBehaviour:
-    """How a stand-in behaves; may be changed while it runs.
+    """Settings of a stand-in application; may be changed while it runs.
 
     Attributes
     ----------
     bad : BadVersion or None
+        Faults of the version, if it is a bad one.
     work : float
         Seconds that a request takes.
     slots : int
-        Requests worked on at once; more of them wait.
+        Maximum number of concurrent requests; others wait. Read at construction only.
     connections : int
-        Connections accepted at once; more of them wait.
+        Maximum number of open connections; others wait. Read at construction only.
     cold_until : float
-        Monotonic; until then a request takes `cold_factor` times as long.
+        Monotonic time, in seconds, until which a request takes `cold_factor` times as long.
+    cold_factor : float
     shed : bool
-        Answer 503 to everything.
+        Whether every request is answered with status 503.
     draining : bool
-        Say on every answer that the upstream drains.
+        Whether every answer states that the upstream is draining.
     cut_after : int or None
-        Cut the connection after this many bytes of an answer's body.
-    told_load : float
-        What the load endpoint reports, whatever is true.
+        Number of bytes of an answer's body after which the connection is closed.
+    reported_load : float
+        Load that the load endpoint reports, independent of the actual load.
     """
 
     __slots__ = (
@@ -89,9 +90,9 @@
         "connections",
         "cut_after",
         "draining",
+        "reported_load",
         "shed",
         "slots",
-        "told_load",
         "work",
     )
 
@@ -105,7 +106,7 @@
         self.shed = False
         self.draining = False
         self.cut_after: int | None = None
-        self.told_load = 0.0
+        self.reported_load = 0.0
 
 
 class _Handler(pywsgi.WSGIHandler):
@@ -124,21 +125,23 @@
 
 
 class StandInUpstream:
-    """An application that answers every request with what it received.
+    """An application that answers every request with a JSON description of it.
 
     Parameters
     ----------
     name : str
     address : tuple of (str, int)
-        Port 0 for any.
+        Host and port; port 0 selects a free one.
     behaviour : UpstreamBehaviour, optional
 
     Attributes
     ----------
     runs : dict of str to int
-        How often each request id ran.
-    in_progress, cancelled : int
-        Requests worked on now, and given up since their callers had gone.
+        Number of runs of each request id.
+    in_progress : int
+        Requests that are being worked on.
+    cancelled : int
+        Requests that were abandoned because their callers closed the connection.
     """
 
     def __init__(self, name: str, address=("127.0.0.1", 0), behaviour: UpstreamBehaviour | None = None):
@@ -147,7 +150,7 @@
         self.runs: dict[str, int] = {}
         self.in_progress = 0
         self.cancelled = 0
-        self._first_at: float | None = None
+        self._first_request_at: float | None = None
         self._slots = BoundedSemaphore(self.behaviour.slots)
         self._server = pywsgi.WSGIServer(
             address,
@@ -163,15 +166,15 @@
 
     @property
     def address(self) -> tuple[str, int]:
-        """Where it listens."""
+        """Host and port on which the application listens."""
         return self._server.address
 
     def start(self) -> None:
-        """Start to serve."""
+        """Start serving."""
         self._server.start()
 
     def stop(self) -> None:
-        """Stop at once."""
+        """Stop without waiting for requests in progress."""
         self._server.stop(timeout=0)
 
     def _serve(self, environ: dict, start_response):
@@ -180,34 +183,34 @@
             start_response("200 OK", [("Content-Length", "0")])
             return [b""]
         if path == "/.load":
-            return self._answer(start_response, {"load": self.behaviour.told_load})
+            return self._answer(start_response, {"load": self.behaviour.reported_load})
         if path == "/.runs":
             return self._answer(start_response, self.runs)
-        if self.behaviour.shed or self._is_hopeless(environ):
+        if self.behaviour.shed or self._would_miss_deadline(environ):
             start_response("503 Service Unavailable", [("Content-Length", "0"), ("Retry-After", "1")])
             return [b""]
         with self._slots:
-            return self._work(environ, start_response)
+            return self._run_request(environ, start_response)
 
-    def _is_hopeless(self, environ: dict) -> bool:
-        """Tell whether a request's deadline passes before its work is done."""
+    def _would_miss_deadline(self, environ: dict) -> bool:
+        """Return whether the time until a request's deadline is shorter than its work."""
         left_ms = environ.get(DEADLINE_HEADER, "")
         return left_ms.isdigit() and int(left_ms) / 1000 < self._work_time()
 
-    def _work(self, environ: dict, start_response):
+    def _run_request(self, environ: dict, start_response):
         self.in_progress += 1
         is_bad = self._is_bad(environ["PATH_INFO"])
         try:
             request_id = environ.get(ID_HEADER, "")
             self.runs[request_id] = self.runs.get(request_id, 0) + 1
             size = 0
-            while piece := environ["wsgi.input"].read(65536):
-                size += len(piece)
+            while chunk := environ["wsgi.input"].read(65536):
+                size += len(chunk)
             factor = self.behaviour.bad.factor if is_bad else 1.0
-            self._spend((factor or 1.0) * self._work_time(), environ["lanedock.socket"])
+            self._simulate_work((factor or 1.0) * self._work_time(), environ["lanedock.socket"])
         except _Cancelled:
             self.cancelled += 1
-            raise ConnectionError("cancelled") from None
+            raise ConnectionError("caller closed the connection") from None
         finally:
             self.in_progress -= 1
         if is_bad and not self.behaviour.bad.factor:
@@ -221,22 +224,22 @@
             "received": size,
             "traceparent": environ.get("HTTP_TRACEPARENT", ""),
         }
-        wanted = environ["QUERY_STRING"].partition("size=")[2]
-        padding = int(wanted) if wanted.isdigit() else 0
+        size_text = environ["QUERY_STRING"].partition("size=")[2]
+        padding = int(size_text) if size_text.isdigit() else 0
         return self._answer(start_response, content, padding)
 
     def _is_bad(self, path: str) -> bool:
         now = time.monotonic()
-        if self._first_at is None:
-            self._first_at = now
+        if self._first_request_at is None:
+            self._first_request_at = now
         bad = self.behaviour.bad
-        return bad is not None and bad.hits(path, now - self._first_at, self.in_progress)
+        return bad is not None and bad.affects(path, now - self._first_request_at, self.in_progress)
 
-    def _spend(self, seconds: float, conn) -> None:
-        """Take time, unless the caller goes away meanwhile."""
-        until = time.monotonic() + seconds
-        while (left := until - time.monotonic()) > 0:
-            gevent.sleep(min(left, CANCEL_INTERVAL))
+    def _simulate_work(self, seconds: float, conn) -> None:
+        """Sleep for the time of the work; raises `_Cancelled` if the caller closes the connection meanwhile."""
+        done_at = time.monotonic() + seconds
+        while (left := done_at - time.monotonic()) > 0:
+            gevent.sleep(min(left, CANCEL_CHECK_INTERVAL))
             if _is_closed(conn):
                 raise _Cancelled
 
@@ -258,16 +261,16 @@
         cut_after = self.behaviour.cut_after
         if cut_after is not None:
             yield body[:cut_after]
-            raise ConnectionError("cut by the script")
+            raise ConnectionError(f"connection closed after {cut_after} bytes of the body, as configured")
         yield body
         while padding > 0:
-            piece = min(padding, 65536)
-            yield b"." * piece
-            padding -= piece
+            length = min(padding, 65536)
+            yield b"." * length
+            padding -= length
 
 
 def _is_closed(conn) -> bool:
-    """Tell whether the other side has closed a connection."""
+    """Return whether the peer has closed a connection."""
     try:
         return not conn._sock.recv(1, plain_socket.MSG_PEEK | plain_socket.MSG_DONTWAIT)
     except BlockingIOError:
