--- a/packages/lanedock/lanedock/testing/mesh.py
+++ b/packages/lanedock/lanedock/testing/mesh.py
@@ -245,12 +245,12 @@
 
     def start_stand_ins(self) -> None:
         """Start the upstreams' stand-in applications, all in one process."""
-        applications = []
+        descriptions = []
         for name, (host, port) in self.applications.items():
             item = {"name": name, "host": host, "port": port, "work": self._work, "bad": self._bad_versions.get(name)}
-            applications.append(item)
+            descriptions.append(item)
         path = self.folder / "applications.json"
-        path.write_text(json.dumps(applications), encoding="utf-8")
+        path.write_text(json.dumps(descriptions), encoding="utf-8")
         self._stand_ins = subprocess.Popen([sys.executable, "-m", "lanedock.testing", str(path)])
 
     def stop_stand_ins(self) -> None:
--- a/packages/lanedock/lanedock/testing/upstream.py
+++ b/packages/lanedock/lanedock/testing/upstream.py
@@ -210,7 +210,7 @@
             self._simulate_work((factor or 1.0) * self._work_time(), environ["lanedock.socket"])
         except _Cancelled:
             self.cancelled += 1
-            raise ConnectionError("caller closed the connection") from None
+            raise ConnectionError("cancelled") from None
         finally:
             self.in_progress -= 1
         if is_bad and not self.behaviour.bad.factor:
--- a/tools/ablation.py
+++ b/tools/ablation.py
@@ -1,10 +1,10 @@
 # SPDX-License-Identifier: BSD-3-Clause
-"""What each decision on overload is worth: the model of bench_overload.py with one of them off at a time.
+"""Ablation of the overload decisions: the model of bench_overload.py with one of them disabled at a time.
 
     python tools/ablation.py --seeds 2
 
-Each row is the credit after prices, in parts of what is owed, and below it the
-difference to all decisions on, with the same seeds.
+Each row gives the earned credit after penalties as a share of the possible credit, and in
+parentheses the difference from the run with all decisions enabled and the same seeds.
 """
 
 import argparse
@@ -26,7 +26,7 @@
 
 
 def _own_class_only(self, traffic_class, request) -> bool:
-    """Make room in a queue by the request's own class only."""
+    """Evict requests of the request's own class only; replaces `AdmissionQueue.evict_for`."""
     return self._evict_last(self._by_class.get(traffic_class, []), request)
 
 
@@ -46,25 +46,27 @@
 
 
 def main() -> None:
-    """Print the table."""
+    """Run all cases with each decision disabled in turn, and print the table."""
     parser = argparse.ArgumentParser(description=__doc__.partition("\n")[0])
     parser.add_argument("--seeds", type=int, default=2)
     parser.add_argument("--seconds", type=float, default=5.0)
-    parser.add_argument("--queue", type=int, default=bench_overload.QUEUE, help="requests that may wait")
+    parser.add_argument(
+        "--queue", type=int, default=bench_overload.QUEUE, help="maximum number of queued requests per upstream"
+    )
     cfg = parser.parse_args()
     bench_overload.QUEUE = cfg.queue
     cfg.pace, cfg.slow_for, cfg.fixed_return = 1.0, 0.0, None
     print("| off | " + " | ".join(f"{short} at {load}" for short, load in CASES) + " |")
     print("| --- " * (len(CASES) + 1) + "|")
-    base: list[float] = []
-    for name, make in DECISIONS.items():
+    baseline: list[float] = []
+    for name, make_patch in DECISIONS.items():
         figures = []
         for short, load in CASES:
-            with make():
+            with make_patch():
                 runs = [play(seed, short, load, cfg)["after prices"] for seed in range(cfg.seeds)]
             figures.append(sum(runs) / len(runs))
-        base = base or figures
-        cells = [f"{value:.3f} ({value - known:+.3f})" for value, known in zip(figures, base, strict=True)]
+        baseline = baseline or figures
+        cells = [f"{value:.3f} ({value - reference:+.3f})" for value, reference in zip(figures, baseline, strict=True)]
         print(f"| {name} | " + " | ".join(cells) + " |", flush=True)
 
 
--- a/tools/bench_canary.py
+++ b/tools/bench_canary.py
@@ -1,12 +1,12 @@
 # SPDX-License-Identifier: BSD-3-Clause
-"""Canary releases of a fleet in virtual time: the shares, the judgement and the steps of production.
+"""Canary releases of a fleet in virtual time, with the production code for traffic split, analysis and steps.
 
 ``python tools/bench_canary.py [--seeds N] [--rate R] [--analysis cusum|thresholds] [--out FILE]``
 
-Daemons divide requests and count their outcomes, their reports and the leader's steps take a
-while on their way, and versions are bad in one of several manners. Prints for each case how
-often it came out right, what a bad version was sent, and how soon after its 50th bad answer
-it was sent nothing any more. A seed repeats.
+Daemons split requests and count their outcomes, reports and steps are delivered with delays,
+and each case gives the new version one kind of fault. Prints for each case the share of
+correct decisions, the requests that a bad version received, and the time from its 50th bad
+answer to its last request. Equal seeds give equal results.
 """
 
 import argparse
@@ -31,30 +31,34 @@
 
 SERVICE = "s"
 ROUTES = ("read", "write", "list", "find", "edit")
-# Parts of the service's requests by route.
+# Relative request rates of the routes.
 ROUTE_WEIGHTS = (8, 4, 2, 1, 1)
+# Seconds.
 TICK = 0.05
 REPORT_INTERVAL = 0.3
-# Seconds that a report takes to the leader, and a step to the daemons.
+# Range of the delivery delay of reports and steps, in seconds.
 DELAY = (0.03, 0.15)
-# Mean and spread (of its logarithm) of a request's work, in seconds, and uneven speeds.
+# Median work of a request in seconds, standard deviation of its logarithm, and relative speeds of upstreams.
 WORK = 0.16
 SPREAD = 0.6
 SPEEDS = (0.5, 1.0, 1.0, 1.5)
+# Upstreams of the new version take COLD_FACTOR times as long for COLD_FOR seconds after READY_AT.
 COLD_FOR = 3.0
 COLD_FACTOR = 2.0
-# Failures of any version.
+# Share of failed answers of any version.
 BASE_FAILING = 0.004
-# Load, in parts of what a stable upstream usually carries, from which a version is bad that is
-# so under load only.
+# Load from which a version with faults under load is bad, relative to the usual load of a stable upstream.
 HEAVY_LOAD = 0.7
-# From when upstreams of the new version take work.
+# Seconds after the start until upstreams of the new version accept requests.
 READY_AT = 1.2
 SLOTS = 4
 
 
 class FixedThresholds(Analysis):
-    """The baseline: a version is bad once enough of all its answers have failed, or were slow."""
+    """Baseline analysis: a version is bad if its share of failures exceeds the stable one by `EXCESS`.
+
+    Takes no decision before `MIN_ANSWERS` answers of the version.
+    """
 
     MIN_ANSWERS = 20
     EXCESS = 0.1
@@ -80,23 +84,23 @@
 
 
 class Case:
-    """One manner in which a version, or what is around it, behaves.
+    """Behaviour of a version and of its environment in one run.
 
     Parameters
     ----------
     name : str
     failing : float
-        Share of failures of a bad version.
+        Share of a bad version's answers that are bad.
     slow : float
-        How many times as long a share of its answers takes.
+        Factor of the duration of the bad answers; 1 makes them failures.
     route : str
-        The only route on which it is bad; empty for all.
+        The only affected route; empty for all.
     after : float
-        Seconds after its start from which it is bad.
+        Seconds between the start of the version and its fault.
     is_under_load : bool
-        Whether it is bad under load only.
+        Whether the fault occurs under load only.
     trouble : str
-        What else happens: "" , "grey canary", "grey stable", "slow all", "lost answers".
+        Unrelated disturbance: "", "grey canary", "grey stable", "slow all", "lost answers".
     """
 
     __slots__ = ("after", "failing", "is_under_load", "name", "route", "slow", "trouble")
@@ -112,7 +116,7 @@
 
     @property
     def is_bad(self) -> bool:
-        """Whether the version is to be rolled back."""
+        """Whether the version must be rolled back."""
         return self.failing > 0 or self.slow > 1
 
 
@@ -132,17 +136,18 @@
 
 
 class Outcome:
-    """What became of one run.
+    """Result of one run.
 
     Attributes
     ----------
     phase : int
+        Final phase of the canary.
     ended_at : float
-        Seconds after the order.
+        Seconds from the start of the canary to its end.
     canary, total : int
-        Requests sent to the version, and to the service, between order and deadline.
+        Requests sent to the new version, and to the whole service, between start and deadline.
     late_by : float or None
-        Seconds after the 50th bad answer at which the version was last sent a request.
+        Seconds from the 50th bad answer to the last request sent to the new version.
     """
 
     __slots__ = ("canary", "ended_at", "late_by", "phase", "total")
@@ -156,7 +161,7 @@
 
 
 class Daemon:
-    """One daemon's part: it divides requests and counts."""
+    """A daemon that splits requests between the versions and counts their outcomes."""
 
     def __init__(self, name: str, rng: random.Random):
         self.state = messages.DaemonState(daemon=name, incarnation=1)
@@ -164,12 +169,12 @@
         self.counter = CanaryCounter()
 
     def follow(self, plan: messages.CanaryPlan) -> None:
-        """Follow a plan."""
+        """Apply a canary plan."""
         self.split.follow(plan)
         self.counter.follow(plan)
 
     def report(self) -> messages.DaemonState:
-        """Return its state as it is now."""
+        """Return a copy of the daemon's current state."""
         counts = self.counter.take_changed()
         if counts is not None:
             del self.state.canary_counts[:]
@@ -181,7 +186,7 @@
 
 
 class Fleet:
-    """A service, its two versions, and all daemons that call it."""
+    """A service with two versions, and the daemons that call it."""
 
     def __init__(self, seed: int, case: Case, rate: float, duration: float, daemons: int, make_analysis):
         self.rng = random.Random(seed)
@@ -196,7 +201,7 @@
         self.speed = {f"{kind}{n}": self.rng.choice(SPEEDS) for kind in ("old", "new") for n in range(self.upstreams)}
         self.grey = self._choose_grey()
         self.known = {daemon.state.daemon: daemon.report() for daemon in self.daemons}
-        self.travelling: deque = deque()
+        self.in_transit: deque = deque()
         self.outcome = Outcome()
         self.bad_answers = 0
         self.fiftieth_at: float | None = None
@@ -211,12 +216,12 @@
         return {f"{kind}{number}" for number in range(max(1, round(share * self.upstreams)))} if kind else set()
 
     def play(self) -> Outcome:
-        """Play a canary from its order to its deadline."""
+        """Simulate a canary release from its start to its deadline."""
         start = messages.CanaryStart(
             service=SERVICE, version="v2", duration_ms=int(1000 * self.duration), started_at=0.0
         )
         self.state.start(start)
-        self._spread(0.0)
+        self._send_plan(0.0)
         now, ready, report_at = 0.0, False, 0.0
         while now < self.duration:
             if now >= READY_AT and not ready:
@@ -225,69 +230,69 @@
             if now >= report_at:
                 report_at = now + REPORT_INTERVAL
                 for daemon in self.daemons:
-                    self._send(now, self._learn, daemon.report())
+                    self._send(now, self._receive_report, daemon.report())
             self._deliver(now)
-            self._decide(now)
-            self._call(now)
+            self._run_controller(now)
+            self._send_requests(now)
             now += TICK
         return self.outcome
 
     def _send(self, now: float, receive, message) -> None:
-        self.travelling.append((now + self.rng.uniform(*DELAY), receive, message))
+        self.in_transit.append((now + self.rng.uniform(*DELAY), receive, message))
 
     def _deliver(self, now: float) -> None:
-        kept = deque()
-        for due, receive, message in self.travelling:
+        pending = deque()
+        for due, receive, message in self.in_transit:
             if due <= now:
                 receive(message)
             else:
-                kept.append((due, receive, message))
-        self.travelling = kept
+                pending.append((due, receive, message))
+        self.in_transit = pending
 
-    def _learn(self, state: messages.DaemonState) -> None:
+    def _receive_report(self, state: messages.DaemonState) -> None:
         self.known[state.daemon] = state
 
-    def _spread(self, now: float) -> None:
+    def _send_plan(self, now: float) -> None:
         plan = self.state.plan()
         for daemon in self.daemons:
             self._send(now, daemon.follow, plan)
 
-    def _decide(self, now: float) -> None:
+    def _run_controller(self, now: float) -> None:
         for command in self.controller.decide(self.known, self.endpoints, now, now):
             if self.state.step(command.canary_step):
-                self._spread(now)
+                self._send_plan(now)
         record = self.state.newest(SERVICE)
         if record.phase != self.outcome.phase:
             self.outcome.phase, self.outcome.ended_at = record.phase, now
 
-    def _call(self, now: float) -> None:
+    def _send_requests(self, now: float) -> None:
         count = int(self.rate * TICK) + (self.rng.random() < self.rate * TICK % 1)
-        used = self._used()
+        members = self._assign_pools()
         for _ in range(count):
             daemon = self.rng.choice(self.daemons)
             route = self.rng.choices(ROUTES, ROUTE_WEIGHTS)[0]
             rule = daemon.split.rule(SERVICE)
-            goes = daemon.split.take(SERVICE) and used[Pool.CANARY]
-            completed = rule is not None and not rule.canary and "v1" in rule.withheld
-            is_canary = bool(goes) or completed
+            is_chosen = daemon.split.take(SERVICE) and members[Pool.CANARY]
+            is_completed = rule is not None and not rule.canary and "v1" in rule.withheld
+            is_canary = bool(is_chosen) or is_completed
             self.outcome.total += 1
             pool = Pool.CANARY if is_canary else Pool.STABLE
-            upstream = self.rng.choice(used[pool] or [f"new{n}" for n in range(self.upstreams)])
-            self._answer(daemon, route, upstream, is_canary, used, now)
+            upstream = self.rng.choice(members[pool] or [f"new{n}" for n in range(self.upstreams)])
+            self._answer(daemon, route, upstream, is_canary, members, now)
 
-    def _used(self) -> dict[Pool, list[str]]:
+    def _assign_pools(self) -> dict[Pool, list[str]]:
         pools = assign_pools(self.state.rule(SERVICE), self.endpoints)
-        return {pool: [name for name, known in pools.items() if known is pool] for pool in Pool}
+        return {pool: [name for name, assigned in pools.items() if assigned is pool] for pool in Pool}
 
-    def _answer(self, daemon: Daemon, route: str, upstream: str, is_canary: bool, used: dict, now: float) -> None:
+    def _answer(self, daemon: Daemon, route: str, upstream: str, is_canary: bool, members: dict, now: float) -> None:
         name = upstream if is_canary else ""
         daemon.counter.note_sent(SERVICE, route, name)
-        failing, factor = self._conditions(upstream, now)
+        failing, factor = self._get_disturbances(upstream, now)
         if is_canary:
             self.outcome.canary += 1
             if self.fiftieth_at is not None:
                 self.outcome.late_by = now - self.fiftieth_at
-            if self._is_bad(route, used, now) and self.rng.random() < self.case.failing:
+            if self._is_bad(route, members, now) and self.rng.random() < self.case.failing:
                 self.bad_answers += 1
                 if self.bad_answers == 50:
                     self.fiftieth_at = now
@@ -297,8 +302,8 @@
         failed = self.rng.random() < failing
         self._send(now + taken, lambda _: daemon.counter.note_answer(SERVICE, route, name, failed, taken), None)
 
-    def _conditions(self, upstream: str, now: float) -> tuple[float, float]:
-        """Return the share of failures and the factor of times that have nothing to do with the version."""
+    def _get_disturbances(self, upstream: str, now: float) -> tuple[float, float]:
+        """Return the share of failures and the factor of durations that the version does not cause."""
         failing, factor = BASE_FAILING, 1.0
         if upstream in self.grey:
             failing = 0.45
@@ -310,31 +315,32 @@
             factor *= COLD_FACTOR
         return failing, factor
 
-    def _is_bad(self, route: str, used: dict, now: float) -> bool:
+    def _is_bad(self, route: str, members: dict, now: float) -> bool:
         case = self.case
         if now < READY_AT + case.after or (case.route and route != case.route):
             return False
         if not case.is_under_load:
             return True
         record = self.state.newest(SERVICE)
-        carried = record.share_permille / 1000 * self.upstreams / max(1, len(used[Pool.CANARY]))
-        return carried >= HEAVY_LOAD
+        load = record.share_permille / 1000 * self.upstreams / max(1, len(members[Pool.CANARY]))
+        return load >= HEAVY_LOAD
 
 
 def measure(case: Case, seeds: int, rate: float, duration: float, daemons: int, make_analysis) -> dict:
-    """Play a case with several seeds.
+    """Simulate a case with several seeds.
 
     Returns
     -------
     dict
-        `right`: share of runs that ended as they should; `exposed`: largest part of the
-        requests that a bad version got; `stopped_in`: longest time from its 50th bad answer to
-        its last request, in seconds; `ended_at`: mean time of the end, in seconds.
+        `right`: share of runs with the correct decision; `exposed` and `most_sent`: largest
+        share and number of requests that a bad version received; `stopped_in`: longest time
+        from its 50th bad answer to its last request, in seconds; `ended_at`: mean time of the
+        end, in seconds.
     """
-    wanted = messages.CANARY_ROLLED_BACK if case.is_bad else messages.CANARY_COMPLETED
+    expected = messages.CANARY_ROLLED_BACK if case.is_bad else messages.CANARY_COMPLETED
     outcomes = [Fleet(seed, case, rate, duration, daemons, make_analysis).play() for seed in range(seeds)]
     return {
-        "right": sum(outcome.phase == wanted for outcome in outcomes) / seeds,
+        "right": sum(outcome.phase == expected for outcome in outcomes) / seeds,
         "exposed": max(outcome.canary / outcome.total for outcome in outcomes) if case.is_bad else None,
         "most_sent": max(outcome.canary for outcome in outcomes) if case.is_bad else None,
         "stopped_in": max((outcome.late_by or 0.0) for outcome in outcomes) if case.is_bad else None,
@@ -343,10 +349,10 @@
 
 
 def main() -> None:
-    """Print the table."""
+    """Simulate all cases, and print the table."""
     parser = argparse.ArgumentParser(description=__doc__.partition("\n")[0])
     parser.add_argument("--seeds", type=int, default=20)
-    parser.add_argument("--rate", type=float, default=450.0, help="requests a second of the service")
+    parser.add_argument("--rate", type=float, default=450.0, help="requests per second to the service")
     parser.add_argument("--duration", type=float, default=16.0, help="seconds")
     parser.add_argument("--daemons", type=int, default=92)
     parser.add_argument("--analysis", choices=sorted(ANALYSES), default="cusum")
@@ -357,9 +363,9 @@
     for case in CASES:
         row = measure(case, args.seeds, args.rate, args.duration, args.daemons, ANALYSES[args.analysis])
         table[case.name] = row
-        shown = [f"{row[key]:.3f}" if row[key] is not None else "-" for key in ("exposed", "stopped_in")]
+        cells = [f"{row[key]:.3f}" if row[key] is not None else "-" for key in ("exposed", "stopped_in")]
         sent = row["most_sent"] if row["most_sent"] is not None else "-"
-        print(f"{case.name:38} {row['right']:6.2f} {shown[0]:>8} {sent:>6} {shown[1]:>8} {row['ended_at']:6.1f}")
+        print(f"{case.name:38} {row['right']:6.2f} {cells[0]:>8} {sent:>6} {cells[1]:>8} {row['ended_at']:6.1f}")
     if args.out is not None:
         settings = {key: str(value) for key, value in vars(args).items()}
         args.out.write_text(json.dumps({"settings": settings, "cases": table}, indent=1) + "\n", encoding="utf-8")
--- a/tools/bench_changes.py
+++ b/tools/bench_changes.py
@@ -1,8 +1,8 @@
 # SPDX-License-Identifier: BSD-3-Clause
-"""What one change of the configuration costs, by its size and by how many routes there are.
+"""Cost of one configuration change, by its size and by the number of routes.
 
-``python tools/bench_changes.py [--out FILE]``: in one process, without a network. Bytes are
-those of the messages; times are the least of several rounds, in milliseconds of a core.
+``python tools/bench_changes.py [--out FILE]``: runs in one process without a network. Bytes
+are the sizes of serialized messages; times are minima over several rounds, in milliseconds.
 """
 
 import argparse
@@ -18,7 +18,7 @@
 from lanedock.routing import RouteTable
 from lanedock.wire import messages
 
-# Routes before the change, and routes that it adds.
+# Number of routes before the change, and of routes that it adds.
 SIZES = (330, 2400, 3800, 5560)
 CHANGES = (1, 1400)
 SERVICES = 3
@@ -28,7 +28,7 @@
 
 
 def main() -> int:
-    """Measure and print."""
+    """Measure all combinations of sizes and changes, and print the results."""
     parser = argparse.ArgumentParser(description=__doc__)
     parser.add_argument("--out", default="")
     out = parser.parse_args().out
@@ -52,7 +52,7 @@
 
 
 def _make_routes(count: int) -> list[dict]:
-    """Make routes with random names, which compress badly."""
+    """Make routes with random names, which hardly compress."""
     rng = random.Random(SEED)
 
     def word(length: int) -> str:
@@ -97,18 +97,18 @@
         "delta_bytes": len(push.SerializeToString()),
         "whole_bytes": len(tree.pack()),
         "entry_bytes": len(command.SerializeToString()),
-        "check_ms": _time(lambda: check_value(value, "bench")),
-        "delta_ms": _time(lambda: tree.delta_push(set(tree.digests), base, set(base.digests))),
-        "apply_ms": min(_time_apply(state, command) for _ in range(ROUNDS)),
-        "verify_ms": _time(lambda: ConfigTree.from_push(push, [base])),
-        "decode_ms": _time(lambda: decode_config(received, held)),
-        "table_ms": _time(lambda: table.evolve(config)),
-        "decode_whole_ms": _time(lambda: RouteTable(decode_config(received))),
+        "check_ms": _measure_ms(lambda: check_value(value, "bench")),
+        "delta_ms": _measure_ms(lambda: tree.delta_push(set(tree.digests), base, set(base.digests))),
+        "apply_ms": min(_measure_apply_ms(state, command) for _ in range(ROUNDS)),
+        "verify_ms": _measure_ms(lambda: ConfigTree.from_push(push, [base])),
+        "decode_ms": _measure_ms(lambda: decode_config(received, held)),
+        "table_ms": _measure_ms(lambda: table.evolve(config)),
+        "decode_whole_ms": _measure_ms(lambda: RouteTable(decode_config(received))),
     }
 
 
 def _make_state(base: ConfigTree) -> bytes:
-    """Return a snapshot in which a version is accepted."""
+    """Return a snapshot of a replica that has accepted `base`."""
     state = MeshState()
     command = messages.Command()
     command.submit.version = base.number
@@ -119,8 +119,8 @@
     return state.snapshot()
 
 
-def _time_apply(snapshot: bytes, command: messages.Command) -> float:
-    """Time the command on a replica that has applied those before it."""
+def _measure_apply_ms(snapshot: bytes, command: messages.Command) -> float:
+    """Return the milliseconds that a replica restored from a snapshot needs to apply a command."""
     state = MeshState.restore(snapshot)
     state.tree(state.accepted_version.number)
     started = time.perf_counter()
@@ -128,7 +128,7 @@
     return round(1000 * (time.perf_counter() - started), 2)
 
 
-def _time(call) -> float:
+def _measure_ms(call) -> float:
     best = float("inf")
     for _ in range(ROUNDS):
         started = time.perf_counter()
--- a/tools/bench_choice.py
+++ b/tools/bench_choice.py
@@ -1,8 +1,8 @@
 # SPDX-License-Identifier: BSD-3-Clause
-"""What the choice of an upstream costs, by how many kinds of requests are sent to its service.
+"""Cost of choosing an upstream, by the number of kinds of requests to its service.
 
-``python tools/bench_choice.py``: microseconds a choice among 30 upstreams in three zones, all of
-them busy; the median of some rounds.
+``python tools/bench_choice.py``: microseconds per choice among 30 busy upstreams in three zones;
+medians over several rounds.
 """
 
 import statistics
@@ -15,19 +15,19 @@
 KINDS = (1, 50, 500)
 UPSTREAMS, ZONES, SLOTS = 30, 3, 10
 ROUNDS, CHOICES = 7, 2000
-# Seconds of the bench's clock between two choices: 2,000 requests a second.
+# Seconds of simulated time between two choices: 2,000 requests per second.
 INTERVAL = 0.0005
 
 
 def main() -> None:
-    """Print the figures."""
+    """Measure each number of kinds, and print the results."""
     for kinds in KINDS:
-        taken = statistics.median(_measure(kinds) for _ in range(ROUNDS))
-        print(f"{kinds} kinds of requests: {1e6 * taken:.1f} us a choice")
+        duration = statistics.median(_measure(kinds) for _ in range(ROUNDS))
+        print(f"{kinds} kinds of requests: {1e6 * duration:.1f} us a choice")
 
 
 def _measure(kinds: int) -> float:
-    """Return the seconds that a choice takes."""
+    """Return the mean duration of a choice, in seconds."""
     balancer = Balancer("z0", Random(1), BalancerPolicy())
     balancer.set_endpoints([_make_endpoint(number) for number in range(UPSTREAMS)], 0.0)
     now = 100.0
--- a/tools/bench_memory.py
+++ b/tools/bench_memory.py
@@ -1,8 +1,8 @@
 # SPDX-License-Identifier: BSD-3-Clause
-"""Resident memory by what is imported: ``python tools/bench_memory.py [--out FILE]``.
+"""Resident memory by imported modules: ``python tools/bench_memory.py [--out FILE]``.
 
-Each step is a process of its own that imports all before it and one thing more,
-so a step's difference is that thing's share. Medians of five.
+Each step runs in its own process and adds an import to those of the step before, so the
+difference between two steps is the memory of that import. Medians of five rounds.
 """
 
 import argparse
@@ -25,7 +25,7 @@
 
 
 def main() -> int:
-    """Measure and print."""
+    """Measure all steps, and print the results."""
     parser = argparse.ArgumentParser(description=__doc__)
     parser.add_argument("--out", default="")
     out = parser.parse_args().out
@@ -40,9 +40,11 @@
 
 
 def _measure(lines: list[str]) -> float:
-    """Return the resident megabytes of a process that runs some lines."""
-    tell = "import os; print(int(open('/proc/self/statm').read().split()[1]) * os.sysconf('SC_PAGE_SIZE') / 1e6)"
-    done = subprocess.run([sys.executable, "-c", "\n".join([*lines, tell])], check=True, capture_output=True, text=True)
+    """Return the resident memory, in megabytes, of a Python process that runs `lines`."""
+    print_size = "import os; print(int(open('/proc/self/statm').read().split()[1]) * os.sysconf('SC_PAGE_SIZE') / 1e6)"
+    done = subprocess.run(
+        [sys.executable, "-c", "\n".join([*lines, print_size])], check=True, capture_output=True, text=True
+    )
     return float(done.stdout)
 
 
--- a/tools/bench_overload.py
+++ b/tools/bench_overload.py
@@ -1,12 +1,12 @@
 # SPDX-License-Identifier: BSD-3-Clause
-"""Goodput of a call tree under overload, by the decision cores alone, in virtual time.
+"""Goodput of a call tree under overload, with the production decision code in virtual time.
 
-A front service calls a shared one for most of its requests; the shared one also
-has callers of its own, more urgent ones. Callers wait for a deadline, come back
-after a refusal as it says, and value an answer by the time since their first try.
-The cores are those of production (`SlotLimiter`, `Balancer`, `FirstAttempts`);
-hops, slots and callers are events of a virtual clock, so seconds of processor
-time are not counted, and a seed always gives the same figures.
+A front service calls a shared service for most of its requests; the shared service also has
+direct callers with more urgent requests. Callers wait until a deadline, retry a refused
+request after the time that the refusal states, and value an answer by the time since their
+first attempt. `SlotLimiter`, `Balancer` and `FirstAttempts` are the production classes; hops,
+slots and callers are events of a virtual clock, so processor time has no influence and equal
+seeds give equal results.
 
     python tools/bench_overload.py --short front --load 1.5 --seeds 3
 """
@@ -28,18 +28,18 @@
 QUEUE = 2 * SLOTS
 SPEEDS = (0.7, 1.0, 1.3, 1.0)
 CLASSES = {name: TrafficClass(name, 0.0, number) for name, number in (("p1", 1), ("p2", 2))}
-# Seconds that a hop takes within a zone, and between zones.
+# Latency of a hop within a zone and between zones, in seconds.
 HOP, FAR_HOP = 0.0012, 0.0028
-# Requests that a caller's daemon offers to upstreams that refuse for their load.
+# Refusals for overload after which a caller's daemon gives up a request: for first attempts, for retries.
 OVERLOADS, OVERLOADS_RETRIED = 2, 1
-# Price of a request that came back after a refusal, and failed.
-FAILED_AGAIN = 0.3
-# Part of the time a caller has left for which it waits before it comes back, at most.
-PATIENCE = 1 / 3
+# Penalty, as a share of its worth, for a request that is refused finally after a retry.
+RETRY_FAILURE_PENALTY = 0.3
+# Largest share of its remaining time that a caller waits before a retry.
+MAX_WAIT_SHARE = 1 / 3
 
 
 class Kind:
-    """A kind of request; times in seconds."""
+    """A kind of request, with its durations in seconds, its worth and the calls that it makes."""
 
     def __init__(self, name, service, work, spread, target, deadline, worth, late, retries, traffic_class, calls=()):
         self.name, self.service, self.work, self.spread = name, service, work, spread
@@ -47,7 +47,7 @@
         self.retries, self.traffic_class, self.calls = retries, traffic_class, calls
 
     def duration(self, rng: Random) -> float:
-        """Draw the time of the work itself."""
+        """Draw a random work time, in seconds, without the calls."""
         sigma = math.sqrt(math.log(1 + self.spread**2))
         return min(6 * self.work, rng.lognormvariate(math.log(self.work) - sigma**2 / 2, sigma))
 
@@ -59,7 +59,7 @@
 
 
 class Upstream:
-    """One instance with its daemon's limiter."""
+    """An upstream instance with its daemon's limiter."""
 
     def __init__(self, name, service, zone, speed, rng):
         self.name, self.service, self.zone, self.speed = name, service, zone, speed
@@ -68,7 +68,7 @@
 
 
 class Mesh:
-    """The services, and a caller's daemon beside each zone's callers and each upstream."""
+    """The upstreams, a daemon for the callers of each zone, and a daemon for the calls of each upstream."""
 
     def __init__(self, seed: int, counts: dict[str, int], rates: dict[str, float], seconds: float, pace: float = 1.0):
         self.rng = Random(seed)
@@ -88,23 +88,23 @@
                 speed = pace * SPEEDS[number % len(SPEEDS)]
                 self.upstreams[name] = Upstream(name, service, zone, speed, self.rng)
         self.daemons = {zone: Daemon(self, zone, "") for zone in ZONES}
-        self.beside = {up.name: Daemon(self, up.zone, up.name) for up in self.upstreams.values()}
+        self.egress_daemons = {up.name: Daemon(self, up.zone, up.name) for up in self.upstreams.values()}
         self.rates = rates
         self.totals = {
             kind.name: SimpleNamespace(asked=0, timely=0, late=0, refused=0, again=0, wasted=0) for kind in DIRECT
         }
 
     def pace(self, service: str) -> float:
-        """Return how fast a service works, against its usual."""
+        """Return the current speed of a service, relative to its normal speed."""
         is_slow = service == self.slow_service and self.slow_from <= self.now < self.slow_until
         return 0.5 if is_slow else 1.0
 
     def at(self, delay: float, call, *arguments) -> None:
-        """Have something happen later."""
+        """Schedule a call `delay` seconds from now."""
         heapq.heappush(self._events, (self.now + delay, next(self._order), call, arguments))
 
     def run(self) -> None:
-        """Run to the end of all requests."""
+        """Simulate until all requests have ended."""
         for kind in DIRECT:
             self.at(self.rng.expovariate(self.rates[kind.name]), self._arrive, kind)
         while self._events:
@@ -118,7 +118,7 @@
 
 
 class Caller:
-    """One caller's request, with its retries."""
+    """A caller with one request and its retries."""
 
     def __init__(self, mesh: Mesh, kind: Kind, daemon: "Daemon"):
         self.mesh, self.kind, self.daemon = mesh, kind, daemon
@@ -127,37 +127,37 @@
         self.is_counted = mesh.now > 0.2 * mesh.seconds
         if self.is_counted:
             mesh.totals[kind.name].asked += 1
-        self._ask()
+        self._send()
 
-    def _left(self) -> float:
+    def _remaining(self) -> float:
         return self.kind.deadline - (self.mesh.now - self.first_at)
 
-    def _ask(self) -> None:
-        Request(self.mesh, self.daemon, self.kind, self._left(), self._answered)
+    def _send(self) -> None:
+        Request(self.mesh, self.daemon, self.kind, self._remaining(), self._answered)
 
     def _answered(self, outcome: str, retry_after: float) -> None:
         mesh, total = self.mesh, self.mesh.totals[self.kind.name]
-        taken = mesh.now - self.first_at
+        elapsed = mesh.now - self.first_at
         is_over = outcome in ("ok", "failed") and (outcome == "ok" or self.retries >= self.kind.retries)
         if outcome == "ok":
             if self.is_counted:
-                total.timely += taken <= self.kind.target
-                total.late += self.kind.target < taken <= self.kind.deadline
+                total.timely += elapsed <= self.kind.target
+                total.late += self.kind.target < elapsed <= self.kind.deadline
             return
         if mesh.fixed_return is not None:
             retry_after = mesh.fixed_return
-        wait = min(retry_after, PATIENCE * self._left()) if outcome == "refused" else 0.0
-        if is_over or self.retries >= self.kind.retries or wait >= self._left():
+        wait = min(retry_after, MAX_WAIT_SHARE * self._remaining()) if outcome == "refused" else 0.0
+        if is_over or self.retries >= self.kind.retries or wait >= self._remaining():
             if self.is_counted:
                 total.refused += 1
                 total.again += self.retries > 0 and outcome == "refused"
             return
         self.retries += 1
-        mesh.at(wait + 0.006, self._ask)
+        mesh.at(wait + 0.006, self._send)
 
 
 class Daemon:
-    """A caller's daemon."""
+    """A caller's daemon, with a balancer for each service."""
 
     def __init__(self, mesh: Mesh, zone: str, name: str):
         self.mesh, self.zone, self.name = mesh, zone, name
@@ -165,7 +165,7 @@
         self._balancers: dict[str, Balancer] = {}
 
     def balancer(self, service: str) -> Balancer:
-        """Return the balancer of a service."""
+        """Return the balancer of a service, which is made at its first use."""
         if service not in self._balancers:
             balancer = Balancer(self.zone, self.mesh.rng, BalancerPolicy())
             balancer.set_endpoints([up.endpoint for up in self.mesh.upstreams.values() if up.service == service], 0.0)
@@ -174,7 +174,7 @@
 
 
 class Request:
-    """One request at a caller's daemon: chosen, queued, worked on, answered."""
+    """One request at a caller's daemon, with its attempts at upstreams."""
 
     def __init__(self, mesh: Mesh, daemon: Daemon, kind: Kind, left: float, done):
         self.mesh, self.daemon, self.kind, self.done = mesh, daemon, kind, done
@@ -194,9 +194,9 @@
         self.started = mesh.now
         self.daemon.balancer(self.kind.service).begin(self.stats, mesh.now)
         self.hop = HOP if self.upstream.zone == self.daemon.zone else FAR_HOP
-        mesh.at(self.hop, self._reach)
+        mesh.at(self.hop, self._arrive_at_upstream)
 
-    def _reach(self) -> None:
+    def _arrive_at_upstream(self) -> None:
         mesh, kind = self.mesh, self.kind
         self.wanted = make_request(self)
         result = self.upstream.limiter.acquire(kind.traffic_class, self.wanted, mesh.now, self._admitted)
@@ -228,28 +228,28 @@
         self.calls_left = []
         for kind, times, share in self.kind.calls:
             self.calls_left += [kind for _ in range(times) if rng.random() < share]
-        # The application calls on the way: its own work is divided between them.
-        self.part = (
+        # The application makes its calls between equal parts of its own work.
+        self.work_part = (
             self.kind.duration(rng)
             / self.upstream.speed
             / self.mesh.pace(self.kind.service)
             / (len(self.calls_left) + 1)
         )
-        self.mesh.at(self.part, self._go_on)
+        self.mesh.at(self.work_part, self._continue)
 
-    def _go_on(self) -> None:
+    def _continue(self) -> None:
         if self.mesh.now >= self.deadline:
             self._end("failed")
         elif self.calls_left:
             kind = self.calls_left.pop()
             left = min(kind.deadline, self.deadline - self.mesh.now)
-            Request(self.mesh, self.mesh.beside[self.upstream.name], kind, left, self._called)
+            Request(self.mesh, self.mesh.egress_daemons[self.upstream.name], kind, left, self._call_ended)
         else:
             self._end("ok")
 
-    def _called(self, outcome: str, retry_after: float) -> None:
+    def _call_ended(self, outcome: str, retry_after: float) -> None:
         if outcome == "ok":
-            self.mesh.at(self.part, self._go_on)
+            self.mesh.at(self.work_part, self._continue)
         else:
             self._end("failed")
 
@@ -280,19 +280,19 @@
 
 
 def make_request(request: Request) -> AdmissionRequest:
-    """Say of a request what the caller's daemon says of it."""
+    """Return the admission request that a caller's daemon sends for a request."""
     left = request.kind.target - request.age / 1000
     target_time = min(request.started + max(0.0, left), request.deadline)
     return AdmissionRequest(request.deadline, target_time, request.kind.name)
 
 
 def rates_at(load: float, short: str, pace: float) -> tuple[dict[str, int], dict[str, float]]:
-    """Return upstreams and rates at which one service has `load` times the work that it can do."""
+    """Return upstream counts and request rates that load the service `short` to `load` times its capacity."""
     counts = {"front": 4, "shared": 4}
     speed = {name: pace * sum(SPEEDS[n % len(SPEEDS)] for n in range(count)) for name, count in counts.items()}
     calls = 1.4
     if short == "front":
-        # A slot is held for the work, and for the calls with their hops.
+        # A request holds its slot during its work and during its calls with their hops.
         held = LOOKUP.work / (speed["front"] / counts["front"]) + calls * (CHECK.work + 2 * FAR_HOP)
         lookups = load * counts["front"] * SLOTS / held
         return counts, {"lookup": lookups, "order": 0.25 * lookups}
@@ -302,41 +302,45 @@
 
 
 def best_share(load: float) -> float:
-    """Return the part of the credit owed that could be earned: what the short service has room for."""
+    """Return the share of the possible credit that the short service's capacity allows."""
     return min(1.0, 1 / load)
 
 
 def play(seed: int, short: str, load: float, cfg: argparse.Namespace) -> dict[str, float]:
-    """Run once; returns shares of the requests by kind and outcome, and of the credit owed."""
+    """Simulate one seed; return shares of requests by kind and outcome, and shares of the possible credit."""
     counts, rates = rates_at(load, short, cfg.pace)
     mesh = Mesh(seed, counts, rates, cfg.seconds, cfg.pace)
     mesh.fixed_return = cfg.fixed_return
     mesh.slow_service, mesh.slow_until = short, mesh.slow_from + cfg.slow_for
     mesh.run()
     figures: dict[str, float] = {}
-    owed = earned = priced = 0.0
+    possible = earned = penalties = 0.0
     for kind in DIRECT:
         total = mesh.totals[kind.name]
-        owed += kind.worth * total.asked
+        possible += kind.worth * total.asked
         earned += kind.worth * total.timely + kind.late * total.late
-        priced += FAILED_AGAIN * kind.worth * total.again
+        penalties += RETRY_FAILURE_PENALTY * kind.worth * total.again
         for name in ("timely", "late", "refused", "again"):
             figures[f"{kind.name}.{name}"] = getattr(total, name) / total.asked
-    figures["goodput"] = earned / owed
-    figures["after prices"] = (earned - priced) / owed
+    figures["goodput"] = earned / possible
+    figures["after prices"] = (earned - penalties) / possible
     return figures
 
 
 def main() -> None:
-    """Print the figures."""
+    """Simulate all cases, and print the mean results."""
     parser = argparse.ArgumentParser(description=__doc__.partition("\n")[0])
-    parser.add_argument("--load", type=float, action="append", help="times what the short service bears")
+    parser.add_argument("--load", type=float, action="append", help="multiple of the short service's capacity")
     parser.add_argument("--short", choices=("front", "shared"), action="append")
     parser.add_argument("--seeds", type=int, default=2)
     parser.add_argument("--seconds", type=float, default=5.0)
-    parser.add_argument("--pace", type=float, default=1.0, help="of all upstreams")
-    parser.add_argument("--slow-for", type=float, default=0.0, help="seconds of half the pace at the short service")
-    parser.add_argument("--fixed-return", type=float, help="seconds that every refusal says, in place of the limiter's")
+    parser.add_argument("--pace", type=float, default=1.0, help="relative speed of all upstreams")
+    parser.add_argument(
+        "--slow-for", type=float, default=0.0, help="seconds during which the short service works at half its speed"
+    )
+    parser.add_argument(
+        "--fixed-return", type=float, help="retry-after of every refusal in seconds, in place of the limiter's"
+    )
     cfg = parser.parse_args()
     for short in cfg.short or ("front", "shared"):
         for load in cfg.load or (0.9, 1.2, 1.5, 2.0):
--- a/tools/bench_path.py
+++ b/tools/bench_path.py
@@ -1,10 +1,10 @@
 # SPDX-License-Identifier: BSD-3-Clause
-"""What the request path adds to a call, and what survives overload.
+"""Latency and processor time that the request path adds to a call, and goodput under overload.
 
-``python tools/bench_path.py [--rounds N] [--out FILE]``: direct to the stand-in
-upstream, through entry daemon and upstream's daemon on gevent's WSGI server
-(the thin version), and on the present server, interleaved in each round.
-Medians over the rounds.
+``python tools/bench_path.py [--rounds N] [--out FILE]``: each round measures calls directly to
+the stand-in upstream, through the entry daemon and the upstream's daemon with gevent's WSGI
+server (wsgi), and through both with lanedock's own server (stream). Prints medians over the
+rounds.
 """
 
 import argparse
@@ -18,18 +18,19 @@
 
 from lanedock.testing.mesh import LocalMesh
 
+# Requests per second, and seconds.
 RATE = 112.0
 DURATION = 6.0
 WORK = 0.002
 SLOTS = 12
-# In the overload bench work takes long enough that slots, not processors, bound it.
+# Long enough that slots, not processors, limit the throughput in the overload benchmark.
 OVERLOAD_WORK = 0.05
 OVERLOAD_DURATION = 6.0
 IN_TIME = 1.0
 
 
 def main() -> int:
-    """Run the benches and print their figures."""
+    """Run all measurements, and print the results."""
     parser = argparse.ArgumentParser(description=__doc__)
     parser.add_argument("--rounds", type=int, default=3)
     parser.add_argument("--out", default="")
@@ -50,7 +51,7 @@
 
 
 def _start(folder: Path, server: str, work: float) -> LocalMesh:
-    """Start a mesh of one entry daemon and one upstream, and apply a file."""
+    """Start a mesh of one entry daemon and one upstream, and apply a configuration."""
     mesh = LocalMesh(folder, ["nbo-a"], {"checklists": 1}, work=work)
     for process in [*mesh.entries.values(), *mesh.upstreams.values()]:
         process.settings["http_server"] = server
@@ -66,8 +67,8 @@
     }
     path = folder / "bench.jsonc"
     path.write_text(json.dumps(value), encoding="utf-8")
-    line = [sys.executable, "-m", "lanedock_cli.app", "apply", str(path), "--control", mesh.control_addresses]
-    subprocess.run(line, check=True, stdout=subprocess.DEVNULL)
+    command = [sys.executable, "-m", "lanedock_cli.app", "apply", str(path), "--control", mesh.control_addresses]
+    subprocess.run(command, check=True, stdout=subprocess.DEVNULL)
     return mesh
 
 
@@ -76,12 +77,12 @@
     for _ in range(rounds):
         for name in samples:
             mesh = meshes.get(name, meshes["stream"])
-            samples[name].append(_load(_address(mesh, name), RATE, DURATION, IN_TIME))
-    figures = {name: _median(each) for name, each in samples.items()}
+            samples[name].append(_run_load(_address(mesh, name), RATE, DURATION, IN_TIME))
+    figures = {name: _median(runs) for name, runs in samples.items()}
     for name in ("wsgi", "stream"):
         figures[name]["added_p50"] = figures[name]["p50"] - figures["direct"]["p50"]
         figures[name]["added_p99"] = figures[name]["p99"] - figures["direct"]["p99"]
-    figures["cpu_us_per_call"] = {name: _cost(mesh) for name, mesh in meshes.items()}
+    figures["cpu_us_per_call"] = {name: _measure_cost(mesh) for name, mesh in meshes.items()}
     return figures
 
 
@@ -92,11 +93,11 @@
     return host, int(port)
 
 
-def _load(address, rate: float, duration: float, in_time: float) -> dict:
+def _run_load(address, rate: float, duration: float, in_time: float) -> dict:
     head = "GET /checklists/1 HTTP/1.1\nHost: birds.example"
     plan = {"address": address, "rate": rate, "duration": duration, "head": head, "in_time": in_time}
-    line = [sys.executable, "-m", "lanedock.testing.load", json.dumps(plan)]
-    return json.loads(subprocess.run(line, check=True, capture_output=True, text=True).stdout)
+    command = [sys.executable, "-m", "lanedock.testing.load", json.dumps(plan)]
+    return json.loads(subprocess.run(command, check=True, capture_output=True, text=True).stdout)
 
 
 def _median(samples: list[dict]) -> dict:
@@ -104,12 +105,12 @@
     return {key: round(statistics.median(sample[key] for sample in samples), 3) for key in keys}
 
 
-def _cost(mesh: LocalMesh) -> dict:
-    """Measure processor time per call of each daemon, and its resident memory."""
+def _measure_cost(mesh: LocalMesh) -> dict:
+    """Measure each daemon's processor time per call, in microseconds, and resident memory, in megabytes."""
     processes = {"entry": next(iter(mesh.entries.values())), "upstream": next(iter(mesh.upstreams.values()))}
     before = {name: mesh.usage(process) for name, process in processes.items()}
     rate, duration = 400.0, 5.0
-    _load(_address(mesh, ""), rate, duration, IN_TIME)
+    _run_load(_address(mesh, ""), rate, duration, IN_TIME)
     after = {name: mesh.usage(process) for name, process in processes.items()}
     costs = {}
     for name in processes:
@@ -120,18 +121,18 @@
 
 
 def _measure_overload(mesh: LocalMesh) -> dict:
-    """Measure answers in time, as a part of capacity, with limits and without.
+    """Measure good answers relative to capacity, with limits (stream) and without (direct).
 
-    Without limits: straight to the upstream, which lets requests queue.
+    Direct requests queue at the upstream without a limit.
     """
     capacity = SLOTS / OVERLOAD_WORK
     figures = {"capacity_per_second": capacity}
     for times in (1, 3):
         for name in ("direct", "stream"):
-            result = _load(_address(mesh, name), capacity * times, OVERLOAD_DURATION, IN_TIME)
+            result = _run_load(_address(mesh, name), capacity * times, OVERLOAD_DURATION, IN_TIME)
             figures[f"{name}_{times}x_good_part"] = round(result["good_per_second"] / capacity, 3)
             figures[f"{name}_{times}x_p99_ms"] = result["p99"]
-            # What the upstream still has queued must not count in the next run.
+            # Requests that are still queued at the upstream would distort the next run.
             time.sleep(OVERLOAD_DURATION * times if name == "direct" else 1)
     return figures
 
--- a/tools/bench_rate_limit.py
+++ b/tools/bench_rate_limit.py
@@ -1,18 +1,18 @@
 # SPDX-License-Identifier: BSD-3-Clause
-"""Ways to keep the rate limits that upstreams advertise, in virtual time.
+"""Comparison of ways to enforce the rate limits that upstreams advertise, in virtual time.
 
-Callers send requests at random to the upstreams of one service, of which some advertise a
-limit. `SlotLimiter` and `Balancer` are those of production; hops, work and callers are events
-of a virtual clock, so a seed always gives the same figures. The ways differ in where the rate
-is kept, and in what callers learn with an answer:
+Callers send requests at random to the upstreams of one service, some of which advertise a
+limit. `SlotLimiter` and `Balancer` are the production classes; hops, work and callers are events
+of a virtual clock, so equal seeds give equal results. The ways differ in which daemon enforces
+the rate, and in the information that callers receive with an answer:
 
-- ``callers``: each caller's daemon keeps the rate, divided by the daemons that it knows;
-- ``upstream``: the upstream's daemon keeps it, callers learn of refusals alone;
-- ``turns``: the upstream's daemon keeps it, and gives each caller its next turn.
+- ``callers``: each caller's daemon enforces the rate divided by the number of callers;
+- ``upstream``: the upstream's daemon enforces the rate, and callers receive refusals only;
+- ``turns``: the upstream's daemon enforces the rate, and tells each caller the time of its next turn.
 
-Columns: the worst 4 s of a limited upstream as a part of what may come in them (1.5 times the
-rate, and 5); the part of the limits that is used; hops that were refused for each request;
-the part of the requests that was served.
+Columns: the largest number of requests that a limited upstream receives in 4 s, relative to the
+allowed number (1.5 times the rate, plus 5); the used share of the limits; refused hops per
+request; the served share of the requests.
 
     python tools/bench_rate_limit.py --seeds 2
 """
@@ -31,48 +31,48 @@
 SLOTS, QUEUE = 18, 36
 # Seconds: a hop between two daemons, the work of a request, its target time and its deadline.
 HOP, WORK, TARGET, DEADLINE = 0.002, 0.12, 0.4, 2.5
-# Upstreams that may refuse one request for their rate, and for their load.
+# Refusals of one request for the rate, and for overload, after which its caller's daemon gives up.
 MAX_REFUSALS, MAX_OVERLOADS = 4, 2
-# Span in which arrivals are counted, and from when on, in seconds.
-WINDOW, FROM = 4.0, 3.0
+# Length of the window in which arrivals are counted, and start of the measurement, in seconds.
+WINDOW, MEASURE_FROM = 4.0, 3.0
 CLASS = "any"
 
 
-class Keeping(ABC):
-    """Where the rates are kept, and what callers learn."""
+class Enforcement(ABC):
+    """Way to enforce the rates, and information that callers receive."""
 
     def __init__(self, callers: int):
         self.callers = callers
 
     def limit_upstream(self, limiter: SlotLimiter, rate: float | None) -> None:
-        """Set what the upstream's daemon keeps."""
+        """Configure the rate that an upstream's daemon enforces; None for no limit."""
         limiter.rate.configure(rate, 0.0)
 
     def may_send(self, caller: "Caller", stats, now: float) -> bool:
-        """Tell whether a caller's daemon may send a request to the upstream chosen."""
+        """Return whether a caller's daemon may send a request to the chosen upstream."""
         return True
 
     @abstractmethod
     def note_answer(self, stats, limiter: SlotLimiter, now: float) -> None:
-        """Take what an answer, or a refusal, tells the caller."""
+        """Process the information that an answer or a refusal gives the caller."""
 
 
-class ByUpstream(Keeping):
-    """The upstream's daemon alone."""
+class UpstreamEnforcement(Enforcement):
+    """Enforces the rate at the upstream's daemon only."""
 
     def note_answer(self, stats, limiter: SlotLimiter, now: float) -> None:
         pass
 
 
-class ByTurns(Keeping):
-    """The upstream's daemon, which gives callers their turns."""
+class TurnEnforcement(Enforcement):
+    """Enforces the rate at the upstream's daemon, which tells callers their next turns."""
 
     def note_answer(self, stats, limiter: SlotLimiter, now: float) -> None:
         stats.caller.balancer.note_turn(stats, limiter.next_turn(now), now)
 
 
-class ByCallers(Keeping):
-    """Each caller's daemon, its equal share; a caller learns of the limit with the first answer."""
+class CallerEnforcement(Enforcement):
+    """Enforces an equal share of the rate at each caller's daemon, from the first answer that states the limit."""
 
     def __init__(self, callers: int):
         super().__init__(callers)
@@ -101,7 +101,7 @@
 
 
 class Caller:
-    """A caller's daemon."""
+    """A caller's daemon, with its balancer and its shares of the rates."""
 
     def __init__(self, endpoints, rng: Random):
         self.shares: dict[str, RateLimiter] = {}
@@ -109,12 +109,12 @@
         self.balancer.set_endpoints(endpoints, 0.0)
 
 
-class Play:
-    """One play: callers, upstreams, and the virtual clock."""
+class Simulation:
+    """Simulation of callers and upstreams on a virtual clock."""
 
-    def __init__(self, cfg, keeping: Keeping, seed: int):
+    def __init__(self, cfg, enforcement: Enforcement, seed: int):
         self.rng = Random(seed)
-        self.keeping = keeping
+        self.enforcement = enforcement
         self.now = 0.0
         self._events: list = []
         self._order = itertools.count()
@@ -123,17 +123,17 @@
         self.limiters = {name: SlotLimiter(SLOTS, QUEUE, {}, self.rng) for name in names}
         self.limited = names[: cfg.limited]
         for name in self.limited:
-            keeping.limit_upstream(self.limiters[name], cfg.rate)
+            enforcement.limit_upstream(self.limiters[name], cfg.rate)
         self.callers = [Caller(endpoints, self.rng) for _ in range(cfg.callers)]
         self.arrivals: dict[str, list[float]] = {name: [] for name in names}
         self.sent = self.served = self.refused_hops = 0
 
     def at(self, time: float, action, *arguments) -> None:
-        """Have something done at a time."""
+        """Schedule an action."""
         heapq.heappush(self._events, (time, next(self._order), action, arguments))
 
     def run(self, rate: float, seconds: float) -> None:
-        """Play requests at a rate until so many seconds have passed."""
+        """Simulate requests at a mean rate per second for a number of seconds."""
         time = 0.0
         while (time := time + self.rng.expovariate(rate)) < seconds:
             self.at(time, self._begin, self.rng.choice(self.callers))
@@ -148,7 +148,7 @@
         self._send(Attempt(caller, self.now))
 
     def _send(self, attempt: "Attempt") -> None:
-        """Send a request to the next upstream, if there is one."""
+        """Send a request to the next upstream; drops the request if there is none."""
         caller = attempt.caller
         while True:
             may_wait = not attempt.refusals
@@ -156,13 +156,13 @@
             if stats is None:
                 return
             attempt.tried.add(stats.endpoint.instance)
-            if self.keeping.may_send(caller, stats, self.now):
+            if self.enforcement.may_send(caller, stats, self.now):
                 break
         caller.balancer.begin(stats, self.now)
-        self.at(self.now + HOP, self._come, attempt, stats)
+        self.at(self.now + HOP, self._arrive, attempt, stats)
 
-    def _come(self, attempt: "Attempt", stats) -> None:
-        """A request comes to an upstream's daemon."""
+    def _arrive(self, attempt: "Attempt", stats) -> None:
+        """Admit, queue or refuse a request at an upstream's daemon."""
         limiter = self.limiters[stats.endpoint.instance]
         wanted = AdmissionRequest(attempt.began + DEADLINE, attempt.began + TARGET, "r")
         result = limiter.acquire(CLASS, wanted, self.now, lambda: self._work(attempt, stats))
@@ -172,15 +172,15 @@
             self._refuse(attempt, stats, result.code)
         else:
             self.at(result.expires_at, self._expire, attempt, stats, result)
-            self._poll(limiter)
+            self._schedule_admission(limiter)
 
-    def _poll(self, limiter: SlotLimiter) -> None:
+    def _schedule_admission(self, limiter: SlotLimiter) -> None:
         if limiter.waiting and limiter.rate.is_limited:
             self.at(self.now + max(0.005, limiter.rate.wait(self.now)), self._admit, limiter)
 
     def _admit(self, limiter: SlotLimiter) -> None:
         limiter.admit_queued(self.now)
-        self._poll(limiter)
+        self._schedule_admission(limiter)
 
     def _expire(self, attempt: "Attempt", stats, queued) -> None:
         if self.limiters[stats.endpoint.instance].cancel(queued):
@@ -206,14 +206,14 @@
             self.at(self.now + HOP, self._send, attempt)
 
     def _answer(self, attempt: "Attempt", stats, limiter: SlotLimiter) -> None:
-        """The caller's daemon gets an answer."""
+        """Process an answer or a refusal at the caller's daemon."""
         load = limiter.in_use + limiter.waiting
         attempt.caller.balancer.end(stats, False, self.now, load, kind="r")
-        self.keeping.note_answer(StatsOf(stats, attempt.caller), limiter, self.now)
+        self.enforcement.note_answer(CallerStats(stats, attempt.caller), limiter, self.now)
 
 
-class StatsOf:
-    """What one caller knows of one upstream."""
+class CallerStats:
+    """One caller's statistics of one upstream."""
 
     def __init__(self, stats, caller: Caller):
         self.caller = caller
@@ -222,7 +222,7 @@
 
 
 class Attempt:
-    """One request on its way."""
+    """One request, with the upstreams that were tried and their refusals."""
 
     def __init__(self, caller: Caller, began: float):
         self.caller = caller
@@ -231,26 +231,29 @@
         self.refusals = self.overloads = 0
 
 
-def worst_part(arrivals: list[float], rate: float) -> float:
-    """Return the fullest window, as a part of what may come in it."""
-    times = [time for time in arrivals if time >= FROM]
+def worst_window(arrivals: list[float], rate: float) -> float:
+    """Return the largest number of arrivals in a window, relative to the allowed number."""
+    times = [time for time in arrivals if time >= MEASURE_FROM]
     most = max((sum(first <= time < first + WINDOW for time in times) for first in times), default=0)
     return most / (1.5 * rate * WINDOW + 5)
 
 
-WAYS = {"callers": ByCallers, "upstream": ByUpstream, "turns": ByTurns}
+WAYS = {"callers": CallerEnforcement, "upstream": UpstreamEnforcement, "turns": TurnEnforcement}
 
 
 def play(way: str, seed: int, cfg) -> dict[str, float]:
-    """Play one seed; returns the figures by the columns' names."""
-    it = Play(cfg, WAYS[way](cfg.callers), seed)
-    it.run(cfg.offered, cfg.seconds)
-    used = [sum(time >= FROM for time in it.arrivals[name]) / (cfg.seconds - FROM) / cfg.rate for name in it.limited]
+    """Simulate one seed; return the results by column."""
+    simulation = Simulation(cfg, WAYS[way](cfg.callers), seed)
+    simulation.run(cfg.offered, cfg.seconds)
+    used = [
+        sum(time >= MEASURE_FROM for time in simulation.arrivals[name]) / (cfg.seconds - MEASURE_FROM) / cfg.rate
+        for name in simulation.limited
+    ]
     return {
-        "worst": max(worst_part(it.arrivals[name], cfg.rate) for name in it.limited),
+        "worst": max(worst_window(simulation.arrivals[name], cfg.rate) for name in simulation.limited),
         "used": min(used),
-        "refused hops": it.refused_hops / it.sent,
-        "served": it.served / it.sent,
+        "refused hops": simulation.refused_hops / simulation.sent,
+        "served": simulation.served / simulation.sent,
     }
 
 
@@ -259,7 +262,7 @@
     parser.add_argument("--seeds", type=int, default=2)
     parser.add_argument("--seconds", type=float, default=20.0)
     parser.add_argument("--upstreams", type=int, default=6)
-    parser.add_argument("--offered", type=float, default=240.0, help="requests a second")
+    parser.add_argument("--offered", type=float, default=240.0, help="requests per second")
     args = parser.parse_args()
     print(f"{'callers':>7} {'limited':>7} {'rate':>5} {'way':>9} {'worst':>6} {'used':>6} {'hops':>6} {'served':>6}")
     for callers, (limited, rate) in itertools.product((6, 92, 190), ((1, 16.0), (1, 1.5), (2, 16.0), (6, 8.0))):
--- a/tools/bench_rollout.py
+++ b/tools/bench_rollout.py
@@ -1,11 +1,11 @@
 # SPDX-License-Identifier: BSD-3-Clause
-"""Convergence time and control bytes of a change of one route.
+"""Convergence time and control traffic of a change of one route.
 
 ``python tools/bench_rollout.py [--daemons 12,24,48] [--changes N] [--out FILE]``:
-3 control instances and as many daemons as asked for, with a file of 66 services.
-For each size, the present way (slices, deltas, relays) and the baseline (the
-source sends the whole file to every daemon), with changes taken in turn.
-Medians and maxima over the changes.
+3 control instances and the given numbers of daemons, with a file of 66 services.
+For each size, compares the present distribution (delta: slices, deltas, relays) with
+the baseline (whole: the source sends the whole file to every daemon); the changes
+alternate between the two. Prints medians and maxima over the changes.
 """
 
 import argparse
@@ -27,13 +27,15 @@
 ZONES = ["z-a", "z-b", "z-c"]
 SERVICES = 66
 ROUTES_PER_SERVICE = 5
-REST = 10.0
-SETTLE = 10.0
-PRESSED_DAEMONS = 24
+# Length of the measurement without changes, in seconds.
+IDLE_TIME = 10.0
+# Seconds after the start until the connections are stable.
+SETTLE_TIME = 10.0
+PRESS_DAEMONS = 24
 
 
 class StatsdSink:
-    """Takes statsd packets and sums the counters by process."""
+    """Receives statsd packets, and sums their counters by process and metric."""
 
     def __init__(self):
         self.socket = socket.socket(socket.AF_INET, socket.SOCK_DGRAM)
@@ -60,7 +62,7 @@
 
 
 def make_value(version: int) -> dict:
-    """Make a file of the target's size; one route differs from version to version."""
+    """Make a configuration of the target's size; one route differs between versions."""
     services, routes = [], []
     for number in range(SERVICES):
         name = f"service-{number}"
@@ -91,7 +93,7 @@
 
 
 class Fleet:
-    """One mesh under measurement."""
+    """A mesh under measurement, with the times of its changes in milliseconds."""
 
     def __init__(self, folder: Path, daemons: int, whole_files: bool):
         self.sink = StatsdSink()
@@ -134,24 +136,26 @@
 
     def usage(self) -> dict[str, tuple[float, float]]:
         """Return processor seconds and resident bytes of each process."""
-        found = {}
+        usages = {}
         for process in self.mesh.processes:
             usage = self.mesh.usage(process)
-            found[process.name] = (usage.cpu_seconds, usage.rss_bytes)
-        return found
+            usages[process.name] = (usage.cpu_seconds, usage.rss_bytes)
+        return usages
 
 
 def main() -> int:
-    """Run the bench and print its figures."""
+    """Run the measurements, and print the results."""
     parser = argparse.ArgumentParser(description=__doc__)
     parser.add_argument("--daemons", default="12,24,48")
     parser.add_argument("--changes", type=int, default=15)
-    parser.add_argument("--press", type=int, default=0, help="instead: so many changes without a pause, 24 daemons")
+    parser.add_argument(
+        "--press", type=int, default=0, help="measure this number of changes without a pause instead, with 24 daemons"
+    )
     parser.add_argument("--out", default="")
     arguments = parser.parse_args()
     figures = []
     if arguments.press:
-        return _finish(_measure_pressed(arguments.press), arguments.out)
+        return _finish(_measure_press(arguments.press), arguments.out)
     for daemons in map(int, arguments.daemons.split(",")):
         figures += _measure(daemons, arguments.changes)
     return _finish(figures, arguments.out)
@@ -164,10 +168,10 @@
     return 0
 
 
-def _measure_pressed(changes: int) -> list[dict]:
-    """Press changes into one run, as many as fit, and see what it costs."""
+def _measure_press(changes: int) -> list[dict]:
+    """Measure changes without a pause between them."""
     with tempfile.TemporaryDirectory() as folder:
-        fleet = Fleet(Path(folder) / "delta", PRESSED_DAEMONS, False)
+        fleet = Fleet(Path(folder) / "delta", PRESS_DAEMONS, False)
         try:
             fleet.start()
             fleet.change()
@@ -181,7 +185,7 @@
         finally:
             fleet.mesh.__exit__()
     figures = {
-        "daemons": PRESSED_DAEMONS,
+        "daemons": PRESS_DAEMONS,
         "changes": changes,
         "seconds": round(seconds, 1),
         "submit_to_force_ms": _summary(fleet.submits),
@@ -195,7 +199,7 @@
 
 
 def _measure(daemons: int, changes: int) -> list[dict]:
-    """Measure both ways at one size, a change of each in turn."""
+    """Measure both ways of distribution with one number of daemons."""
     with tempfile.TemporaryDirectory() as folder:
         fleets = {
             "whole": Fleet(Path(folder) / "whole", daemons, True),
@@ -213,11 +217,11 @@
 
 
 def _compare(fleets: dict[str, Fleet], daemons: int, changes: int) -> list[dict]:
-    # Daemons that started before their control instance fail back meanwhile.
-    time.sleep(SETTLE)
-    at_rest = {way: fleet.usage() for way, fleet in fleets.items()}
-    bytes_at_rest = {way: fleet.sink.bytes_by_process() for way, fleet in fleets.items()}
-    time.sleep(REST)
+    # Daemons that started before their preferred control instance return to it meanwhile.
+    time.sleep(SETTLE_TIME)
+    idle_before = {way: fleet.usage() for way, fleet in fleets.items()}
+    idle_sent_before = {way: fleet.sink.bytes_by_process() for way, fleet in fleets.items()}
+    time.sleep(IDLE_TIME)
     before = {way: fleet.usage() for way, fleet in fleets.items()}
     sent_before = {way: fleet.sink.bytes_by_process() for way, fleet in fleets.items()}
     for fleet in fleets.values():
@@ -226,15 +230,15 @@
     for _ in range(changes):
         for fleet in fleets.values():
             fleet.change()
-    busy = time.monotonic() - started
+    busy_time = time.monotonic() - started
     time.sleep(2)
     figures = []
     for way, fleet in fleets.items():
-        rest_bytes = _difference(sent_before[way], bytes_at_rest[way])
+        idle_bytes = _difference(sent_before[way], idle_sent_before[way])
         sent = _difference(fleet.sink.bytes_by_process(), sent_before[way])
-        # What flows at rest is not the changes' doing.
-        share = (busy + 2) / REST
-        net = {name: max(0.0, value - rest_bytes.get(name, 0) * share) for name, value in sent.items()}
+        # Subtracts the idle traffic, which the changes do not cause.
+        share = (busy_time + 2) / IDLE_TIME
+        net = {name: max(0.0, value - idle_bytes.get(name, 0) * share) for name, value in sent.items()}
         control = sum(value for name, value in net.items() if name.startswith("control"))
         after = fleet.usage()
         figures.append(
@@ -248,9 +252,9 @@
                 "bytes_per_change": round(sum(net.values()) / changes),
                 "bytes_per_change_and_daemon": round(sum(net.values()) / changes / daemons),
                 "source_bytes_per_change": round(control / changes),
-                "rest_bytes_per_second_and_daemon": round(sum(rest_bytes.values()) / REST / daemons, 1),
-                "daemon_rest_core_percent": _cpu(before[way], at_rest[way], False) / REST * 100,
-                "control_rest_core_percent": _cpu(before[way], at_rest[way], True) / REST * 100,
+                "rest_bytes_per_second_and_daemon": round(sum(idle_bytes.values()) / IDLE_TIME / daemons, 1),
+                "daemon_rest_core_percent": _cpu(before[way], idle_before[way], False) / IDLE_TIME * 100,
+                "control_rest_core_percent": _cpu(before[way], idle_before[way], True) / IDLE_TIME * 100,
                 "daemon_cpu_ms_per_change": _cpu(after, before[way], False) * 1000 / changes,
                 "control_cpu_ms_per_change": _cpu(after, before[way], True) * 1000 / changes,
                 "daemon_rss_mb": _memory(after, False),
@@ -269,7 +273,7 @@
 
 
 def _cpu(after: dict, before: dict, of_control: bool) -> float:
-    """Return the mean processor time, in seconds, of a kind of process."""
+    """Return the mean processor time, in seconds, of the control instances or of the daemons."""
     spent = [after[name][0] - before[name][0] for name in after if name.startswith("control") == of_control]
     return round(statistics.mean(spent), 6)
 
--- a/tools/capacity.py
+++ b/tools/capacity.py
@@ -1,9 +1,9 @@
 # SPDX-License-Identifier: BSD-3-Clause
-"""Makes the tables of docs/CAPACITY.md from the benches' JSON.
+"""Makes the tables of docs/CAPACITY.md from the JSON results of the benchmarks.
 
-A block between ``<!-- table:NAME -->`` and ``<!-- end -->`` is replaced by what
-the function of that name makes; slopes are least-squares fits over the sizes
-that were measured.
+A block between ``<!-- table:NAME -->`` and ``<!-- end -->`` is replaced by the
+table of that name; slopes are least-squares fits over the measured numbers of
+daemons.
 """
 
 import json
@@ -23,18 +23,19 @@
 DAEMONS = UPSTREAMS + ENTRIES
 PER_CONTROL = DAEMONS / CONTROLS
 SECONDS_PER_DAY = 86_400
-# Heartbeats of a source to each daemon, a second (`HEARTBEAT_INTERVAL`).
+# Heartbeats per second of a source to each daemon (1 / `HEARTBEAT_INTERVAL`).
 SOURCE_BEATS = 1 / 0.3
 
 
 def fill_tables(text: str, folder: Path) -> str:
-    """Return a page with its tables made anew.
+    """Return a page with regenerated tables.
 
     Parameters
     ----------
     text : str
+        The page.
     folder : Path
-        With rollout.json, press.json, memory.json, changes.json and path.json.
+        Contains rollout.json, press.json, memory.json, changes.json and path.json.
     """
     rollout = json.loads((folder / "rollout.json").read_text(encoding="utf-8"))
     path = json.loads((folder / "path.json").read_text(encoding="utf-8"))
@@ -43,7 +44,7 @@
     changes = json.loads((folder / "changes.json").read_text(encoding="utf-8"))
     tables = {
         "changes": _make_changes(changes),
-        "memory": _make_memory(memory, _of(rollout, "delta")[-1]["daemon_rss_mb"]),
+        "memory": _make_memory(memory, _select(rollout, "delta")[-1]["daemon_rss_mb"]),
         "press": _make_press(press[0]),
         "measured": _make_measured(rollout),
         "slopes": _make_slopes(rollout),
@@ -58,13 +59,13 @@
     return re.sub(r"<!-- table:(\w+) -->.*?<!-- end -->", replace, text, flags=re.DOTALL)
 
 
-def _of(rollout: list[dict], way: str) -> list[dict]:
+def _select(rollout: list[dict], way: str) -> list[dict]:
     return sorted((item for item in rollout if item["way"] == way), key=lambda item: item["daemons"])
 
 
 def _fit(rollout: list[dict], value, way: str = "delta") -> tuple[float, float]:
-    """Fit a line over the number of daemons; returns slope and intercept."""
-    items = _of(rollout, way)
+    """Fit a line over the number of daemons; return slope and intercept."""
+    items = _select(rollout, way)
     line = statistics.linear_regression([item["daemons"] for item in items], [value(item) for item in items])
     return line.slope, line.intercept
 
@@ -153,7 +154,7 @@
     return "\n".join(lines)
 
 
-def _at(rollout: list[dict], name: str, daemons: float) -> float:
+def _predict(rollout: list[dict], name: str, daemons: float) -> float:
     slope, intercept = _fit(rollout, _SLOPES[name])
     return max(0.0, intercept + slope * daemons)
 
@@ -161,14 +162,14 @@
 def _make_roles(rollout: list[dict], path: dict) -> str:
     """Make the table of roles at the target's size.
 
-    A mesh under measurement has three control instances, so a third of its
-    daemons is one control instance's share.
+    A measured mesh has three control instances, so each of them serves a third of
+    its daemons.
     """
     fleet = PER_CONTROL * 3
-    leaf = _of(rollout, "delta")[-1]
-    control_core = _at(rollout, "control: % of a core at rest", fleet)
-    control_change = _at(rollout, "control: processor ms a change", fleet)
-    control_memory = _at(rollout, "control: resident MB", fleet)
+    leaf = _select(rollout, "delta")[-1]
+    control_core = _predict(rollout, "control: % of a core at rest", fleet)
+    control_change = _predict(rollout, "control: processor ms a change", fleet)
+    control_memory = _predict(rollout, "control: resident MB", fleet)
     daemon_core = leaf["daemon_rest_core_percent"]
     daemon_change = leaf["daemon_cpu_ms_per_change"]
     per_day = CHANGES_PER_DAY / SECONDS_PER_DAY
@@ -238,7 +239,7 @@
 
 
 def _make_plot(rollout: list[dict]) -> str:
-    """Draw bars of text: a picture that a diff can show."""
+    """Draw bar charts as text, which a diff can show."""
     lines = ["```"]
     for title, value in (
         ("accepted to in force, ms (median)", lambda item: item["accept_to_force_ms"]["median"]),
@@ -247,7 +248,7 @@
         lines.append(title)
         longest = max(value(item) for item in rollout)
         for way in ("delta", "whole"):
-            for item in _of(rollout, way):
+            for item in _select(rollout, way):
                 bar = "#" * max(1, round(value(item) / longest * 50))
                 lines.append(f"  {way:5} {item['daemons']:3} {bar} {value(item):g}")
     return "\n".join([*lines, "```"])
--- a/tools/demo.py
+++ b/tools/demo.py
@@ -1,10 +1,9 @@
 # SPDX-License-Identifier: BSD-3-Clause
-"""The whole path on loopback: ``python tools/demo.py [FILE]``.
+"""Demo of a whole mesh on loopback: ``python tools/demo.py [FILE]``.
 
-Starts one control instance and one entry daemon in each availability zone, an
-upstream with its daemon for each that the deployment has today, applies the
-operators' file, sends requests of every kind, prints what happened, and stops
-everything.
+Starts one control instance and one entry daemon in each availability zone, and
+as many upstreams with daemons as the deployment has. Applies the operators'
+file, sends requests of every kind, prints the results, and stops all processes.
 """
 
 import argparse
@@ -18,7 +17,7 @@
 from lanedock.config import load_config
 from lanedock.testing.mesh import LocalMesh
 
-# Upstreams of each service, as the two deployments have them today.
+# Number of upstreams of each service in the two deployments.
 UPSTREAMS = {"checklists": 6, "sightings": 4, "media": 3, "catalog": 6, "orders": 4, "dispatch": 3}
 REQUESTS = {
     "kijani": [
@@ -36,7 +35,7 @@
 
 
 def main() -> int:
-    """Run the demo; returns its exit code."""
+    """Run the demo; return the exit code."""
     parser = argparse.ArgumentParser(description=__doc__)
     parser.add_argument("file", nargs="?", default="examples/kijani.jsonc")
     file = parser.parse_args().file
@@ -61,8 +60,8 @@
 
 
 def _lanedock(mesh: LocalMesh, command: str, *arguments: str, quiet: bool = False) -> str:
-    line = [sys.executable, "-m", "lanedock_cli.app", command, *arguments, "--control", mesh.control_addresses]
-    done = subprocess.run(line, capture_output=True, text=True, check=False)
+    command_line = [sys.executable, "-m", "lanedock_cli.app", command, *arguments, "--control", mesh.control_addresses]
+    done = subprocess.run(command_line, capture_output=True, text=True, check=False)
     if not quiet or done.returncode:
         print(f"$ lanedock {command} {' '.join(arguments)}\n{done.stdout}{done.stderr}")
     if done.returncode:
@@ -71,7 +70,7 @@
 
 
 def _send_requests(mesh: LocalMesh, name: str) -> bool:
-    """Send requests through every entry daemon; tell whether all succeeded."""
+    """Send requests through the entry daemons in turn; return whether all succeeded."""
     succeeded = True
     for method, path, body in REQUESTS.get(name, REQUESTS["kijani"]):
         answers, upstreams, duration = [], set(), 0.0
--- a/tools/generate.sh
+++ b/tools/generate.sh
@@ -1,7 +1,7 @@
 #!/bin/sh
 # SPDX-License-Identifier: BSD-3-Clause
-# Makes the wire modules anew; they are committed, so a build needs no generator.
-# Wants grpcio-tools and grpclib in the environment whose bin folder is $1.
+# Regenerates the wire modules, which are committed so that a build needs no generator.
+# Requires grpcio-tools and grpclib in the environment whose bin folder is $1 (default: .venv/bin).
 set -eu
 cd "$(dirname "$0")/.."
 bin="${1:-.venv/bin}"
--- a/tools/make_docs.py
+++ b/tools/make_docs.py
@@ -1,10 +1,10 @@
 # SPDX-License-Identifier: BSD-3-Clause
-"""Makes the reference pages from the code: ``python tools/make_docs.py [--check]``.
+"""Generates the reference pages from the code: ``python tools/make_docs.py [--check]``.
 
-Errors, events and metrics come from their enumerations, settings and the
-operators' file from their schemas, the tables of docs/CAPACITY.md from the
-benches' JSON in docs/measurements. With ``--check`` nothing is written; exits
-1 where a page is out of date.
+The sources are the enumerations of errors, events and metrics, the schemas of the
+settings and of the operators' file, and, for the tables of docs/CAPACITY.md, the
+JSON results of the benchmarks in docs/measurements. With ``--check``, writes nothing
+and exits with 1 if a page is out of date.
 """
 
 import argparse
@@ -60,7 +60,7 @@
 
 
 def make_reference(title: str, package: str) -> str:
-    """Make the reference of a schema."""
+    """Make the reference page of a package's schema."""
     schema = load_schema(package, "schema.json")
     lines = [f"# {title}", "", NOTE, schema["description"], ""]
     lines += ["| key | type | default | meaning |", "| --- | --- | --- | --- |"]
@@ -84,7 +84,7 @@
 
 
 def make_pages() -> dict[str, str]:
-    """Make all pages, by path below docs."""
+    """Make all pages, by their paths relative to docs."""
     pages = {
         "errors.md": make_errors(),
         "events.md": make_events(),
@@ -104,7 +104,7 @@
 
 
 def main() -> int:
-    """Write or check the pages; returns the exit code."""
+    """Write or check the pages; return the exit code."""
     parser = argparse.ArgumentParser(description=__doc__)
     parser.add_argument("--check", action="store_true")
     is_check = parser.parse_args().check
--- a/tools/model.py
+++ b/tools/model.py
@@ -1,9 +1,9 @@
 # SPDX-License-Identifier: BSD-3-Clause
 """Model checking of the core protocols with spin: ``python tools/model.py [--mutants]``.
 
-Without an option, every bounded configuration is searched exhaustively. With
-``--mutants``, the specification is given one mistake at a time, and each must
-be found. Prints one line for each search; exits 1 where one is not as expected.
+Without an option, searches every bounded configuration exhaustively. With
+``--mutants``, searches mutants of the specification, each of which must violate an
+assertion. Prints one line for each search; exits with 1 if a result is unexpected.
 """
 
 import argparse
@@ -17,19 +17,20 @@
 
 FOLDER = Path(__file__).parent.parent / "model"
 WORKERS = 4
+# Seconds for each command of a search.
 SEARCH_TIMEOUT = 400
 EXIT_MISSING = 2
 
 
 class Search:
-    """One search: a specification and its bounds.
+    """A specification with the bounds of its state space.
 
     Parameters
     ----------
     model : str
-        Name of its file.
+        Name of the Promela file.
     bounds : dict of str to int
-        Macros.
+        Values of the file's macros.
     """
 
     __slots__ = ("bounds", "model")
@@ -68,9 +69,9 @@
 
 
 def main() -> int:
-    """Run the searches; returns the exit code."""
+    """Run the searches; return the exit code."""
     parser = argparse.ArgumentParser(description=__doc__)
-    parser.add_argument("--mutants", action="store_true", help="check that planted mistakes are found")
+    parser.add_argument("--mutants", action="store_true", help="check that every mutant violates an assertion")
     is_mutants = parser.parse_args().mutants
     missing = [tool for tool in ("spin", "gcc") if shutil.which(tool) is None]
     if missing:
@@ -81,13 +82,13 @@
         results = list(pool.map(lambda name: _search(name, searches[name], is_mutants), searches))
     for _, line in results:
         print(line)
-    passed = sum(good for good, _ in results)
+    passed = sum(is_expected for is_expected, _ in results)
     print(f"{passed} passed, {len(results) - passed} failed")
     return 0 if passed == len(results) else 1
 
 
 def _search(name: str, search: Search, is_mutant: bool) -> tuple[bool, str]:
-    """Search one configuration; returns whether it came out as expected, and a line."""
+    """Run one search; return whether its result is the expected one, and a line to print."""
     flags = [f"-D{macro}={value}" for macro, value in search.bounds.items()]
     if is_mutant:
         flags.append(f"-D{name.split()[-1]}")
@@ -96,20 +97,20 @@
         shutil.copy(model, folder)
         _run(["spin", "-a", *flags, model.name], folder)
         _run(["gcc", "-O2", "-DSAFETY", "-DCOLLAPSE", "-DMEMLIM=4000", "-o", "pan", "pan.c"], folder)
-        printed = _run(["./pan", "-m200000", "-w24"], folder)
-    errors = re.search(r"errors: (\d+)", printed)
-    states = re.search(r"(\d+) states, stored", printed)
-    is_complete = "Search not completed" not in printed and "max search depth too small" not in printed
-    found = errors is not None and int(errors.group(1)) > 0
-    good = found if is_mutant else errors is not None and not found and is_complete
-    what = re.search(r"assertion violated (.*) \(at depth (\d+)\)", printed)
-    finding = f"found at depth {what.group(2)}: {what.group(1)}" if what else "no error"
+        output = _run(["./pan", "-m200000", "-w24"], folder)
+    errors = re.search(r"errors: (\d+)", output)
+    states = re.search(r"(\d+) states, stored", output)
+    is_complete = "Search not completed" not in output and "max search depth too small" not in output
+    has_error = errors is not None and int(errors.group(1)) > 0
+    is_expected = has_error if is_mutant else errors is not None and not has_error and is_complete
+    violation = re.search(r"assertion violated (.*) \(at depth (\d+)\)", output)
+    result = f"found at depth {violation.group(2)}: {violation.group(1)}" if violation else "no error"
     count = states.group(1) if states else "?"
-    return good, f"{'ok  ' if good else 'FAIL'} {name}: {finding}, {count} states"
+    return is_expected, f"{'ok  ' if is_expected else 'FAIL'} {name}: {result}, {count} states"
 
 
-def _run(line: list[str], folder: str) -> str:
-    done = subprocess.run(line, cwd=folder, capture_output=True, text=True, check=False, timeout=SEARCH_TIMEOUT)
+def _run(command: list[str], folder: str) -> str:
+    done = subprocess.run(command, cwd=folder, capture_output=True, text=True, check=False, timeout=SEARCH_TIMEOUT)
     return done.stdout + done.stderr
 
 
