--- a/packages/lanedock-cli/lanedock_cli/explain.py
+++ b/packages/lanedock-cli/lanedock_cli/explain.py
@@ -139,9 +139,7 @@
     for line in lines:
         upstream = line.fields.get("upstream", "")
         if line.fields["message"] == Event.REQUEST_SENT.name and upstream not in wrote:
-            text = (
-                f"{upstream} was sent it but logged nothing: it succeeded, the log is not given, or the process ended"
-            )
+            text = f"no line of {upstream}: the request succeeded there, its log is not given, or the process ended"
             if text not in missing:
                 missing.append(text)
     if lines[-1].fields["message"] not in (Event.REQUEST_ANSWERED.name, Event.REQUEST_DONE.name):
