--- a/packages/lanedock-cli/lanedock_cli/client.py
+++ b/packages/lanedock-cli/lanedock_cli/client.py
@@ -35,14 +35,14 @@
         Of the control instances, in the order in which they are tried.
     context : ssl.SSLContext or None
         Plain TCP if None.
-    leader_timeout : float
-        Seconds to look for a leader.
+    retry_timeout : float
+        Seconds during which a call is retried.
     """
 
-    def __init__(self, addresses: list[Address], context: ssl.SSLContext | None, leader_timeout: float):
+    def __init__(self, addresses: list[Address], context: ssl.SSLContext | None, retry_timeout: float):
         self._addresses = addresses
         self._context = context
-        self._leader_timeout = leader_timeout
+        self._retry_timeout = retry_timeout
         self._leader: Address | None = None
 
     async def ask(self, method: str, request):
@@ -65,7 +65,7 @@
         LeaderUnreachableError
             No control instance answered.
         """
-        deadline = time.monotonic() + self._leader_timeout
+        deadline = time.monotonic() + self._retry_timeout
         fallback = None
         while True:
             for address in list(self._addresses):
@@ -114,7 +114,7 @@
             The final reply. After an attempt with an unknown outcome, a
             "busy" refusal of a later attempt is reported as unknown, too.
         """
-        deadline = time.monotonic() + self._leader_timeout
+        deadline = time.monotonic() + self._retry_timeout
         may_have_run = False
         leader = self._leader
         position = 0
--- a/packages/lanedock-cli/lanedock_cli/connection.py
+++ b/packages/lanedock-cli/lanedock_cli/connection.py
@@ -26,7 +26,7 @@
 JsonOption = Annotated[bool, typer.Option("--json", help="Print JSON.")]
 
 
-def make_client(control: str, tls: str, leader_timeout: float) -> ControlClient:
+def make_client(control: str, tls: str, retry_timeout: float) -> ControlClient:
     """Make a client of the control instances.
 
     Parameters
@@ -35,8 +35,8 @@
         Value of ``--control``: IP:PORT, separated by commas.
     tls : str
         Value of ``--tls``: the folder of the certificates; plain TCP if empty.
-    leader_timeout : float
-        Seconds to look for a leader.
+    retry_timeout : float
+        Seconds during which a call is retried.
 
     Raises
     ------
@@ -54,7 +54,7 @@
             f"no control instance given; pass IP:PORT, separated by commas, or set {CONTROL_VARIABLE}",
             param_hint="--control",
         )
-    return ControlClient(addresses, _make_context(tls), leader_timeout)
+    return ControlClient(addresses, _make_context(tls), retry_timeout)
 
 
 def _make_context(folder: str):
