--- a/packages/lanedock-daemon/lanedock_daemon/agent/attest.py
+++ b/packages/lanedock-daemon/lanedock_daemon/agent/attest.py
@@ -11,7 +11,7 @@
 
 # Answered by the daemon itself, never forwarded to the application.
 ALIVE_PATH = "/.lanedock/alive"
-# Time-out of an attempt as a multiple of the stall limit. A daemon that is paused for less than its
+# Timeout of an attempt as a multiple of the stall limit. A daemon that is paused for less than its
 # stall limit continues to serve and must not be attested as unreachable, so the factor exceeds 1.
 ATTEMPT_TIMEOUT_FACTOR = 1.4
 
--- a/packages/lanedock-daemon/lanedock_daemon/agent/discovery.py
+++ b/packages/lanedock-daemon/lanedock_daemon/agent/discovery.py
@@ -1,7 +1,7 @@
 # SPDX-License-Identifier: BSD-3-Clause
 """Discovery of the application's incarnation through its health check.
 
-A restarted daemon knows nothing of the application beside it until the application's
+A restarted daemon has no information on its application until the application's
 next heartbeat, a second or more later. The health check reports at once which
 incarnation is running and whether it is healthy or leaving. When heartbeats of two
 incarnations arrive interleaved, the health check shows which of them is running.
@@ -41,7 +41,7 @@
 
 
 class ApplicationDiscovery(Service):
-    """Queries the health check of the application beside the daemon.
+    """Queries the health check of the daemon's application.
 
     Queries are sent after the start until a heartbeat or an answer identifies the application,
     when a second incarnation claims to be the application, and while the rate limit is low.
--- a/packages/lanedock-daemon/lanedock_daemon/agent/scouting.py
+++ b/packages/lanedock-daemon/lanedock_daemon/agent/scouting.py
@@ -18,12 +18,11 @@
 # covers several round trips between regions and the first retransmission of a lost packet (200 ms).
 PROBE_INTERVAL = 0.25
 # Seconds until a probe is abandoned, connecting included. The answer may queue behind request bodies
-# on the daemon's link: with a limit of 0.25 s, no probe succeeds on a link with 0.35 s of queued data
-# (agent/tests/test_source_loss.py).
+# on the daemon's link: with a limit of 0.25 s, no probe succeeds on a link with 0.35 s of queued data.
 PROBE_TIMEOUT = 1.0
 # Shortest and longest wait between two rounds of probes in which no instance had a leader, in seconds.
-# During an outage of all leaders, 760 daemons send each of 7 instances some 500 probes per second,
-# each of which costs 0.2 kB of answer and 0.36 ms of CPU time.
+# While no control instance has a leader, 760 daemons together send some 500 probes per second to each
+# of 7 instances. A probe costs 0.2 kB of answer and 0.36 ms of CPU time.
 ROUND_WAIT_MIN = 0.25
 ROUND_WAIT_MAX = 1.0
 
--- a/packages/lanedock-daemon/lanedock_daemon/agent/search.py
+++ b/packages/lanedock-daemon/lanedock_daemon/agent/search.py
@@ -8,7 +8,7 @@
 __all__ = ["SourceSearch"]
 
 # Base of the exponential backoff between two connection attempts, in seconds.
-BACKOFF_MIN = 0.1
+BACKOFF_BASE = 0.1
 # Longest backoff, in seconds. 760 daemons that each reconnect at a random time within it make 760
 # attempts per second, and the wait adds less than one second to the time without a source.
 BACKOFF_MAX = 1.0
@@ -17,17 +17,19 @@
 # 7 control instances 870 of them per second.
 URGENT_BACKOFF_MAX = 0.25
 # Seconds for which a failed relay is reported to control instances, which then redirect to another
-# one. A daemon restarts within seconds; avoiding it longer than needed costs the other relay one session.
+# one. A relay is a daemon, which restarts within seconds; avoiding it longer than needed costs the
+# other relay one session.
 FAILED_RELAY_RETENTION = 30.0
-# Shortest and longest wait between two probes of the own zone's control instance, in seconds; the wait
-# doubles with each probe. The shortest lets a restarted instance catch up; with the longest,
-# 760 daemons away from their zones send 2.5 probes per second in total (760 / 300).
+# Smallest and largest backoff between two probes of the own zone's control instance, in seconds. The
+# backoff doubles with each probe; each wait is a random 50 to 100 % of it. The smallest lets a restarted
+# instance catch up; with the largest, 760 daemons away from their zones send 3.4 probes per second in
+# total (760 / 225).
 FAILBACK_WAIT_MIN = 4.0
 FAILBACK_WAIT_MAX = 300.0
 
 
 class SourceSearch:
-    """Search for a source among control instances, in turn, and the relays that they redirect to.
+    """Search for a source among control instances, tried one by one, and the relays that they redirect to.
 
     Waits grow exponentially with full jitter, which spreads the attempts of daemons that
     lost their source at the same time.
@@ -68,7 +70,7 @@
         self._sort_control()
 
     def _sort_control(self) -> None:
-        """Order the known control instances, the own zone's first, and keep the present position."""
+        """Order the known control instances, the own zone's first, and keep the current position."""
         current = self._control[self._position % len(self._control)]
         zones = dict(self._members)
         known = list(dict.fromkeys([*(address for address, _ in self._members), *self._seeds]))
@@ -82,22 +84,22 @@
         return self._control[self._position % len(self._control)]
 
     def failback_target(self) -> Address:
-        """Return the address of the own zone's control instance."""
+        """Return the address of the preferred control instance: one of the own zone, if known."""
         return self._control[0]
 
-    def probe_order(self, present: Address) -> list[Address]:
-        """Return the control instances to probe, in order, starting after the present source.
+    def probe_order(self, current: Address) -> list[Address]:
+        """Return the control instances to probe, in order, starting after the current source.
 
-        The present source comes last: its stream may have become silent while new streams work.
+        The current source comes last: its stream may have become silent while new streams work.
         """
-        if present not in self._control:
+        if current not in self._control:
             return list(self._control)
-        position = self._control.index(present)
+        position = self._control.index(current)
         return self._control[position + 1 :] + self._control[: position + 1]
 
     @property
     def failures(self) -> int:
-        """Number of sources that have failed since a source last served."""
+        """Number of failures since a source last served."""
         return self._failures
 
     def relay_name(self) -> str:
@@ -143,7 +145,7 @@
         return 0.0
 
     def note_refusal(self, retry_after: float) -> float:
-        """Return the wait before reconnecting, in seconds: the time that the source gave, plus up to 10% jitter."""
+        """Return the wait before reconnecting, in seconds: the time that the source gave and up to 10% jitter."""
         return retry_after * self._rng.uniform(1.0, 1.1)
 
     def note_failure(self, now: float, is_urgent: bool = False) -> float:
@@ -169,5 +171,5 @@
             self._position += 1
         self._failures += 1
         max_backoff = URGENT_BACKOFF_MAX if is_urgent else BACKOFF_MAX
-        max_wait = min(max_backoff, BACKOFF_MIN * 2 ** min(self._failures, 16))
+        max_wait = min(max_backoff, BACKOFF_BASE * 2 ** min(self._failures, 16))
         return self._rng.uniform(0, max_wait)
--- a/packages/lanedock-daemon/lanedock_daemon/agent/service.py
+++ b/packages/lanedock-daemon/lanedock_daemon/agent/service.py
@@ -102,7 +102,7 @@
         }
 
     def set_registrar(self, registrar: Registrar) -> None:
-        """Set the registrar, which receives what the mesh knows of the application beside this daemon."""
+        """Set the registrar, which receives the mesh's information on this daemon's application."""
         self._registrar = registrar
 
     # ------------------------------------------------------------------- start
@@ -169,7 +169,7 @@
         return not self._stream.is_serving and now - self._opened_at > limit
 
     def _timeout_factor(self) -> int:
-        """Return the factor by which time-outs are extended after consecutive failures of sources: 8 at most."""
+        """Return the factor by which timeouts are extended after consecutive failures of sources: 8 at most."""
         return 2 ** min(self._search.failures, 3)
 
     # ----------------------------------------------------------------- probing
--- a/packages/lanedock-daemon/lanedock_daemon/agent/tests/test_source_loss.py
+++ b/packages/lanedock-daemon/lanedock_daemon/agent/tests/test_source_loss.py
@@ -18,7 +18,7 @@
 
 from lanedock_daemon.agent.tests.sources import ControlInstance, VirtualMesh
 
-# Seconds from its acceptance within which a version has to be in force on every daemon that can
+# Seconds after a version's acceptance within which it has to be in force on every daemon that can
 # reach a control instance with a leader.
 IN_FORCE_LIMIT = 2.0
 # Part of the limit, in seconds, reserved for delays that virtual time does not include: slow
--- a/packages/lanedock-daemon/lanedock_daemon/agent/view.py
+++ b/packages/lanedock-daemon/lanedock_daemon/agent/view.py
@@ -16,7 +16,7 @@
 __all__ = ["MISSING_ENDPOINT_RETENTION", "Binding", "LocalView"]
 
 # Seconds for which endpoints missing from a whole update stay in use if the update leaves their service
-# without any. A control instance that was just started learns of most endpoints within one second.
+# without any. A control instance that was just started receives most endpoints within one second.
 # Keeping an outdated endpoint is safe: its daemon refuses requests for an application that has left,
 # and callers notice when it does not answer.
 MISSING_ENDPOINT_RETENTION = 2.0
@@ -57,7 +57,7 @@
         Pause of the process, in seconds, after which nothing is served until the version is
         confirmed again.
     upstream : UpstreamRegistration, optional
-        Registration of the application beside the daemon.
+        Registration of the daemon's application.
     instance : str, optional
         Name of the daemon's instance.
 
@@ -152,7 +152,7 @@
         self._newer = max(self._newer, number)
 
     def set_work(self, limiter: SlotLimiter) -> None:
-        """Set the limiter that holds the requests in progress at the application beside the daemon."""
+        """Set the limiter that holds the requests in progress at the daemon's application."""
         self._slot_limiter = limiter
 
     def parent_class(self, binding: Binding) -> str:
--- a/packages/lanedock-daemon/lanedock_daemon/control/peers.py
+++ b/packages/lanedock-daemon/lanedock_daemon/control/peers.py
@@ -1,5 +1,5 @@
 # SPDX-License-Identifier: BSD-3-Clause
-"""gRPC links to the other control replicas, with reconnection."""
+"""gRPC links to the other control instances, with reconnection."""
 
 import asyncio
 import random
@@ -18,15 +18,15 @@
 __all__ = ["GrpcLinks"]
 
 # Messages queued for one replica; when the queue is full, the oldest is dropped.
-MAX_QUEUE = 512
-# Bounds of the delay before a reconnection, in seconds.
+MAX_QUEUED_MESSAGES = 512
+# Bounds of the longest delay before a reconnection, in seconds; the delay is random from 0 to that.
 RECONNECT_MIN = 0.05
 RECONNECT_MAX = 1.0
 # Timeout for opening a link, in seconds.
 OPEN_TIMEOUT = 3.0
-# Timeout for writing one message to the connection, in seconds. With a large flow-control window
-# the socket buffer fills instead, which hides that the peer is gone. The largest version, 16 MB,
-# takes a minute on a link of 2 Mbit/s.
+# Timeout for writing one message to the connection, in seconds. With a large flow-control window,
+# a write blocks only once the socket buffer is full, so until then it doesn't show that the peer is
+# gone. The largest version, 16 MB, takes a minute on a link of 2 Mbit/s.
 SEND_TIMEOUT = 60.0
 
 
@@ -36,7 +36,7 @@
     def __init__(self, address: Address, context):
         self.address = address
         self.context = context
-        self.queue: asyncio.Queue = asyncio.Queue(MAX_QUEUE)
+        self.queue: asyncio.Queue = asyncio.Queue(MAX_QUEUED_MESSAGES)
 
     def put(self, message: messages.PeerMessage) -> None:
         """Queue a message; a full queue drops its oldest, a loss that the consensus protocol tolerates."""
@@ -56,8 +56,9 @@
             await asyncio.sleep(random.uniform(0, delay))
 
     async def _send_queued(self) -> None:
-        # Only confirmations over this connection show that it works. Messages over the peer's own
-        # link, such as vote requests because it hears no leader, do not.
+        # Only confirmations over this connection show that it works. Messages from the peer,
+        # such as vote requests because it hears no leader, arrive over its own link and prove
+        # nothing about this one.
         channel = make_channel(self.address, self.context, SILENCE_LIMIT, CONFIRMATIONS)
         try:
             async with ReplicationStub(channel).Deliver.open() as stream:
@@ -99,4 +100,4 @@
                 link.put(message)
 
     def note_heard(self, sender: str, now: float) -> None:
-        """Do nothing: every peer confirms over the link itself."""
+        """Do nothing: confirmations on each link already show that the peer is alive."""
--- a/packages/lanedock-daemon/lanedock_daemon/control/submissions.py
+++ b/packages/lanedock-daemon/lanedock_daemon/control/submissions.py
@@ -62,6 +62,21 @@
         Monotonic, seconds.
     settle_time : float, optional
         Maximum wait after acceptance, in seconds; None waits until the deadline.
+
+    Attributes
+    ----------
+    base : int or None
+        Number of the version that the submission is based on; None if the request states none.
+    allowed_zones : set of str
+        Availability zones that the request allows to be cut off.
+    index : int
+        Index at which the submission's log entry was proposed; 0 if none was.
+    started_at, deadline : float
+        Monotonic, seconds.
+    reported_at : float
+        Time of the last progress report: monotonic, in seconds; 0 before the first.
+    accepted_at : float or None
+        Time at which the version was first seen to be accepted: monotonic, in seconds.
     """
 
     __slots__ = (
@@ -120,12 +135,12 @@
         return f"<SubmissionQueue proposed={len(self._proposed)} waiting={len(self._waiting)}>"
 
     def wait_for_entry(self, submission: Submission, index: int) -> None:
-        """Wait until the entry proposed at an index is applied."""
+        """Add a submission that waits until its entry, proposed at an index, is applied."""
         submission.index = index
         self._proposed[index] = submission
 
     def wait_for_outcome(self, submission: Submission) -> None:
-        """Wait for the outcome of a version that was submitted before."""
+        """Add a submission of a version that was submitted before; it waits for the outcome."""
         self._waiting.append(submission)
 
     def handle_applied(self, index: int, result: SubmitResult | None) -> None:
@@ -208,13 +223,13 @@
             and now - submission.accepted_at >= submission.settle_time
         )
         if is_settled or now >= submission.deadline:
-            return self._make_timeout_reply(submission, progress, is_accepted, now)
+            return self._make_unfinished_reply(submission, progress, is_accepted, now)
         self._report_progress(submission, progress, is_accepted, now)
         return None
 
     def _make_in_force_reply(self, submission, progress, cut_off: list[str], now: float) -> messages.SubmitReply:
         if cut_off:
-            message = "accepted, but not yet in force on missing instances in zones allowed to be cut off"
+            message = "accepted; not yet in force on unconnected instances in the zones that may be cut off"
             reply = submission.reply(messages.ANSWER_ACCEPTED, ErrorCode.IN_FORCE_LATE, message)
             reply.lagging.extend(cut_off)
         else:
@@ -222,7 +237,7 @@
             self._metrics.time(Metric.CONVERGENCE, now - submission.accepted_at)
         return _fill_progress(reply, submission, progress, now)
 
-    def _make_timeout_reply(self, submission, progress, is_accepted: bool, now: float) -> messages.SubmitReply:
+    def _make_unfinished_reply(self, submission, progress, is_accepted: bool, now: float) -> messages.SubmitReply:
         if is_accepted:
             reply = submission.reply(messages.ANSWER_ACCEPTED, ErrorCode.IN_FORCE_LATE)
             reply.lagging.extend(progress.lagging)
@@ -241,7 +256,8 @@
 def _is_verdict_on(submission: Submission, result: SubmitResult) -> bool:
     """Return whether a verdict belongs to a submission.
 
-    The base versions have to match only where the version was refused.
+    A recorded version has one outcome, whichever submission it comes from. A refusal may be due to
+    the base version, so then the base versions have to match, too.
     """
     if result.version != submission.version:
         return False
--- a/packages/lanedock-daemon/lanedock_daemon/path/answers.py
+++ b/packages/lanedock-daemon/lanedock_daemon/path/answers.py
@@ -11,7 +11,7 @@
 
 __all__ = ["AnswerPieces", "ExchangeGuard", "UpstreamAnswer", "make_failure"]
 
-# Shortest read time-out, in seconds, of an answer whose head has been passed on; the time-out is
+# Shortest read timeout, in seconds, of an answer whose head has been passed on; the timeout is
 # otherwise the time that the request had left. 1 s leaves time to retransmit lost packets. With
 # 30 s, connections that fell silent within an answer held their slots for 30 s.
 MIN_READ_TIMEOUT = 1.0
@@ -86,7 +86,7 @@
         return pieces
 
     def lift_deadline(self, silence: float) -> None:
-        """Replace the deadline by a time-out of `silence` seconds, or more, between two reads."""
+        """Replace the deadline by a timeout of `silence` seconds, or more, between two reads."""
         if self._reader is not None:
             self._reader.conn.settimeout(max(MIN_READ_TIMEOUT, silence))
 
--- a/packages/lanedock-daemon/lanedock_daemon/path/body_gate.py
+++ b/packages/lanedock-daemon/lanedock_daemon/path/body_gate.py
@@ -47,7 +47,7 @@
     Parameters
     ----------
     limiter : SlotLimiter
-        Slot limiter of the same upstream; states until when a request may wait.
+        Slot limiter of the same upstream; determines how long a request may wait.
     metrics : Metrics
     link_rate : float, optional
         Rate of the daemon's link, in bytes per second, if known.
@@ -62,7 +62,7 @@
         return f"<BodyGate {self._bodies!r}>"
 
     def configure(self, queue: int, classes: dict) -> None:
-        """Apply the limits of another version; see `BodyAdmission`."""
+        """Apply the limits of another configuration version; see `BodyAdmission`."""
         self._bodies.configure(queue, classes)
 
     @property
@@ -76,7 +76,7 @@
         rate = None if bodies.rate is None else round(bodies.rate)
         return {"body_bytes": bodies.outstanding, "bodies_waiting": bodies.waiting, "bytes_per_s": rate}
 
-    def enter(self, request: Request, traffic_class: str, wanted: AdmissionRequest) -> Refused | None:
+    def enter(self, request: Request, traffic_class: str, admission: AdmissionRequest) -> Refused | None:
         """Wait until the link has capacity for a request's body.
 
         From then on the body counts as load of the link, until its end or `leave`.
@@ -92,14 +92,16 @@
             return None
         now = monotonic()
         # A request that would get no slot in time doesn't wait for the link.
-        refused = self._limiter.judge(traffic_class, wanted, now)
+        refused = self._limiter.judge(traffic_class, admission, now)
         if refused is not None:
             return refused
         admitted = Signal()
-        expires_at = self._limiter.latest_start(wanted, now)
-        transfer = self._bodies.acquire(traffic_class, wanted, body.length, expires_at, now, admitted.set)
+        expires_at = self._limiter.latest_start(admission, now)
+        transfer = self._bodies.acquire(traffic_class, admission, body.length, expires_at, now, admitted.set)
         if isinstance(transfer, Refused):
-            return Refused(transfer.code, self._limiter.return_after(wanted, now, transfer.retry_after), transfer.limit)
+            return Refused(
+                transfer.code, self._limiter.return_after(admission, now, transfer.retry_after), transfer.limit
+            )
         request.body = _CountedBody(body, self._bodies, transfer)
         try:
             while not (transfer.is_admitted or transfer.is_evicted) and now < expires_at:
@@ -113,7 +115,7 @@
         if transfer.is_admitted:
             return None
         self._bodies.end(transfer, now)
-        return Refused(ErrorCode.OVERLOADED, self._limiter.return_after(wanted, now), "link")
+        return Refused(ErrorCode.OVERLOADED, self._limiter.return_after(admission, now), "link")
 
     def begin(self, request: Request) -> bool:
         """Record that a request got its slot and that its body is requested now.
--- a/packages/lanedock-daemon/lanedock_daemon/path/caller.py
+++ b/packages/lanedock-daemon/lanedock_daemon/path/caller.py
@@ -39,8 +39,8 @@
 RETRIED_ATTEMPT = 2
 # Bodies up to this many bytes are kept until the answer comes, so that they can be sent again.
 REPLAY_LIMIT = 64 * 1024
-# Attempts of any kind, except those refused for a rate limit, for each attempt that a route
-# allows to reach an application.
+# Factor on a route's `max_attempts`, which limits attempts that reach an application. The product
+# limits all attempts, except those refused for a rate limit.
 ATTEMPTS_PER_ARRIVAL = 2
 # Upstreams that may refuse a request because of their advertised rate limits. Such a refusal
 # says nothing about other upstreams, and each one tells this daemon the limit only once.
@@ -113,7 +113,7 @@
         return self.failure if is_refusal and self._may_have_run else result.answer
 
     def is_exhausted(self) -> bool:
-        """Tell whether another attempt is not allowed or unlikely to succeed."""
+        """Return whether another attempt is not allowed or unlikely to succeed."""
         if self._attempts_left <= 0 or self._rate_limit_refusals >= MAX_RATE_LIMIT_REFUSALS:
             return True
         return self.arrivals >= self._max_arrivals or self._overload_refusals >= self._max_overloads
@@ -168,7 +168,7 @@
         facts = self._dialect.read_request(request.headers)
         log = self._requests.begin(facts.request_id, started)
         try:
-            answer = self._route(request, facts, span, started, log)
+            answer = self._process(request, facts, span, started, log)
         except BaseException as exc:
             self._requests.totals.note("caller", log.route, "cancelled", monotonic() - started)
             log.note(Event.REQUEST_ANSWERED, outcome="cancelled", reason=type(exc).__name__)
@@ -185,7 +185,7 @@
         self._requests.end(log, answer.status >= 400)
         return answer
 
-    def _route(self, request: Request, facts: RequestFacts, span: Span, started: float, log: RequestLog) -> Answer:
+    def _process(self, request: Request, facts: RequestFacts, span: Span, started: float, log: RequestLog) -> Answer:
         binding = self._view.bind()
         if binding is None:
             log.note(Event.REQUEST_ROUTED, target=request.path, reason="no confirmed version", **self._view.age())
@@ -284,7 +284,7 @@
         try:
             return self._attempt_until_final(job, progress, may_retry)
         except StopTimeout:
-            # The request may have been sent; code that knows that it was not catches StopTimeout itself.
+            # The request may have been sent; callees catch StopTimeout themselves where it certainly was not.
             return self._dialect.make_refusal(ErrorCode.ANSWER_LOST, Outcome.UNKNOWN)
 
     def _attempt_until_final(self, job: Job, progress: _Progress, may_retry: bool) -> Answer:
@@ -301,29 +301,29 @@
                 job.log.note(Event.REQUEST_TRY_ENDED, service=job.service.name, reason="the process stops")
                 return progress.failure or self._refuse_stopping(now)
             job.start_by = self._plan.start_by(needed)
-            stats = job.choose(now)
-            if stats is None:
+            upstream = job.choose(now)
+            if upstream is None:
                 known = len(job.balancer)
                 job.log.note(Event.REQUEST_TRY_ENDED, service=job.service.name, reason="no upstream left", known=known)
                 return progress.failure or self._refuse(ErrorCode.NO_UPSTREAM, RETRY_AFTER)
             may_hedge = may_retry and route.repeatable and body.length == 0 and not job.is_suspect
             if may_hedge and progress.arrivals + 1 < route.max_attempts:
-                result = self._attempts.send_hedged(job, stats, attempt)
+                result = self._attempts.send_hedged(job, upstream, attempt)
             else:
-                result = self._attempts.send(job, stats, attempt if may_retry else RETRIED_ATTEMPT)
+                result = self._attempts.send(job, upstream, attempt if may_retry else RETRIED_ATTEMPT)
             if result.is_final:
                 return progress.choose_answer(result)
             progress.add(result)
             job.is_rate_limited = job.is_rate_limited or result.code is ErrorCode.RATE_LIMITED
             if not may_retry or not body.can_rewind or progress.is_exhausted():
                 return progress.failure
-            if not self._may_send_again(job, bool(result.arrivals)):
+            if not self._spend_retry(job, bool(result.arrivals)):
                 return progress.failure
             body.rewind()
             self._metrics.count(Metric.RETRIES)
 
-    def _may_send_again(self, job: Job, is_charged: bool) -> bool:
-        """Tell whether the retry budget allows another attempt.
+    def _spend_retry(self, job: Job, is_charged: bool) -> bool:
+        """Charge another attempt to the retry budget; return whether the budget allows it.
 
         An attempt that reached no application is not charged to the budget.
         """
--- a/packages/lanedock-daemon/lanedock_daemon/path/channel.py
+++ b/packages/lanedock-daemon/lanedock_daemon/path/channel.py
@@ -91,7 +91,7 @@
         self._sock.shutdown(how)
 
     def is_clean(self) -> bool:
-        """Tell whether the connection is open and has no unread data.
+        """Return whether the connection is open and has no unread data.
 
         A readable connection was closed by the peer or has unread data. Unread data hides a
         close that follows it: the kernel still delivers a process's last bytes after its end.
--- a/packages/lanedock-daemon/lanedock_daemon/path/connection.py
+++ b/packages/lanedock-daemon/lanedock_daemon/path/connection.py
@@ -108,7 +108,7 @@
         self._greenlet.kill(_Expired, block=False)
 
     def is_idle(self) -> bool:
-        """Tell whether no request is in progress or being read, and the connection isn't closing."""
+        """Return whether no request is in progress or being read, and the connection isn't closing."""
         return not (self._exchanges or self._reader.is_in_head or self._reader.has_head() or self._is_closing)
 
     def end_if_idle(self) -> None:
@@ -267,7 +267,7 @@
         if limits is not None and body.length is not None and body.length > limits.body_bytes:
             return make_refusal(ErrorCode.BODY_TOO_LONG, Outcome.NOT_RUN)
         if self._server.is_over():
-            # The stop's final answers have been sent; a request read now would never be answered.
+            # This process is stopping and has sent its last answers; a request read now would not be answered.
             return make_refusal(ErrorCode.DRAINING, Outcome.NOT_RUN, RETRY_AFTER)
         try:
             return self._server.side.handle(_make_request(message, body))
@@ -276,7 +276,7 @@
             return make_refusal(ErrorCode.ANSWER_LOST, Outcome.UNKNOWN)
 
     def _may_keep_open(self, exchange: Exchange, answer: Answer) -> bool:
-        """Tell whether the connection stays open after a request's answer."""
+        """Return whether the connection stays open after a request's answer."""
         if not exchange.message.keep_alive:
             return False
         # The rest of an unfinished body would precede the next request.
--- a/packages/lanedock-daemon/lanedock_daemon/path/crashes.py
+++ b/packages/lanedock-daemon/lanedock_daemon/path/crashes.py
@@ -15,14 +15,14 @@
 
 __all__ = ["CrashDetector"]
 
-# Seconds to wait before each check whether an application has ended. Its connections break at
-# once, but the daemon handles them one after the other, and later when short of processor time;
-# an ending process closes its connections and its listening socket in any order.
+# Seconds to wait before each check whether an application has ended. Several checks, because the
+# daemon notices broken connections one by one, and later if short of processor time, and an
+# ending process closes its connections and its listening socket in any order.
 CHECK_DELAYS = (0.005, 0.02, 0.05, 0.1)
 # Seconds for which a request with a lost answer waits for the first checks. Nearly all crashes
 # are known by then, which decides whether the request may be sent again.
 ANSWER_WAIT = 0.03
-# Time-out, in seconds, of a check's connection over loopback, where a refusal comes at once.
+# Timeout, in seconds, of a check's connection over loopback, where a refusal comes at once.
 CONNECT_TIMEOUT = 0.2
 # Seconds in which lost runs of one incarnation are attributed to the same crash. An application
 # that doesn't report its incarnations takes longer than this to start and crash again.
@@ -32,13 +32,13 @@
 
 
 class CrashDetector:
-    """Tells the crash of an application from a broken connection, and suspects the requests it ran.
+    """Distinguishes crashes of an application from broken connections, and suspects the requests it ran.
 
     A connection may break for many reasons. After a crash, all connections of the application are
     closed and it accepts no new ones. Both are checked, because an overloaded application may
     refuse connections, too. A request in progress doesn't show that the application still runs:
-    while its caller is slow the daemon doesn't read from its connection, so an upload or a long
-    answer would hide the crash until the application's next start.
+    while a caller is slow, the daemon doesn't read from the application's connection, so an
+    upload or a long answer would hide the crash until the application's next start.
 
     Parameters
     ----------
@@ -52,7 +52,7 @@
         Registration of the application.
     quarantine : Quarantine
     on_news : callable
-        Called without arguments when suspicions have changed that other daemons have to learn.
+        Called without arguments when suspicions have changed, so that other daemons are notified.
     events : EventLogger
     metrics : Metrics
     """
@@ -79,9 +79,9 @@
         self._runs = RunRegistry()
         self._served = RecentlyServed()
         self._check: gevent.Greenlet | None = None
-        self._crash = ""
-        self._crashed: Incarnation | None = None
-        self._crashed_at = float("-inf")
+        self._last_crash_id = ""
+        self._last_crashed: Incarnation | None = None
+        self._last_crash_at = float("-inf")
 
     def __repr__(self) -> str:
         return f"<CrashDetector {self._instance} {self._runs!r}>"
@@ -108,7 +108,7 @@
             self._on_news()
 
     def note_abandoned(self, run: Run) -> None:
-        """Record that nobody waits for a run any more; the application may still work on it."""
+        """Record that a run's answer is no longer awaited; the application may still work on it."""
         self._runs.abandon(run, False, monotonic())
 
     def note_lost(self, run: Run) -> bool:
@@ -138,9 +138,9 @@
     # ------------------------------------------------------------------ checks
 
     def _wait_for_check(self) -> None:
-        """Wait for the check whether the application has ended.
+        """Wait for a check whether the application has ended, for at most `ANSWER_WAIT`.
 
-        Concurrent lost runs share one check.
+        Starts a check unless one is running: concurrent lost runs share one.
         """
         if self._check is None or self._check.ready():
             self._check = gevent.spawn(self._check_for_crash)
@@ -177,24 +177,27 @@
         runs = self._runs.take_suspects(now, has_restarted)
         if not runs:
             return
-        if incarnation != self._crashed or now - self._crashed_at > SAME_CRASH_WINDOW:
+        if incarnation != self._last_crashed or now - self._last_crash_at > SAME_CRASH_WINDOW:
             # The wall clock keeps the name unique after a restart of the daemon.
-            self._crash = f"{self._instance}/{incarnation.upstream or '-'}/{time.time_ns() // 1_000_000}"
-            self._crashed, self._crashed_at = incarnation, now
+            self._last_crash_id = f"{self._instance}/{incarnation.upstream or '-'}/{time.time_ns() // 1_000_000}"
+            self._last_crashed, self._last_crash_at = incarnation, now
             self._metrics.count(Metric.CRASHES)
         for run in runs:
-            run.crash = self._crash
-        known = {run.hasher.fingerprint(): None for run in runs if run.hasher.is_complete}
-        self._report(self._crash, list(known), len(runs))
+            run.crash = self._last_crash_id
+        fingerprints = {run.hasher.fingerprint(): None for run in runs if run.hasher.is_complete}
+        self._report(self._last_crash_id, list(fingerprints), len(runs))
 
     def _report(self, crash: str, fingerprints: list[Fingerprint], running: int = 1) -> None:
-        """Report a crash and its suspects, except requests that have lately been served."""
+        """Report a crash and its suspects, except requests that have lately been served.
+
+        A crash is reported and logged again for each suspect whose fingerprint is known only later.
+        """
         now = monotonic()
         suspects = [fingerprint for fingerprint in fingerprints if not self._served.has(fingerprint, now)]
-        fresh = self._quarantine.note_crash(crash, suspects, now)
+        newly_quarantined = self._quarantine.note_crash(crash, suspects, now)
         logged = ",".join(str(fingerprint) for fingerprint in suspects[:MAX_LOGGED_SUSPECTS])
         self._events.emit(Event.UPSTREAM_CRASHED, crash=crash, running=running, suspects=logged)
-        for fingerprint in fresh:
+        for fingerprint in newly_quarantined:
             crashes = ",".join(self._quarantine.crashes(fingerprint))
             self._events.emit(Event.REQUEST_QUARANTINED, suspect=fingerprint, crashes=crashes)
         self._on_news()
--- a/packages/lanedock-daemon/lanedock_daemon/path/exchange.py
+++ b/packages/lanedock-daemon/lanedock_daemon/path/exchange.py
@@ -30,8 +30,8 @@
         Seconds after which the other side's consent is late.
     on_late : callable
         Called without arguments if the consent is late. This connection and others to the same
-        address may have fallen silent, and each of them would cost another body its whole
-        deadline. The wait goes on.
+        address may have stopped responding, and each of them would cost another body its whole
+        deadline. The wait continues.
     """
 
     __slots__ = ("_late_after", "_on_late")
@@ -138,14 +138,14 @@
             return UpstreamAnswer(reader, message, self._pool, address)
 
     def close(self) -> None:
-        """Cancel the request by closing the connection; nobody waits for the answer any more."""
+        """Cancel the request by closing the connection; its answer is no longer awaited."""
         self._reader.conn.close()
 
 
 def note_late(
     pool: ConnectionPool, address: tuple[str, int], sent_at: float, events: EventLogger, upstream: str
 ) -> None:
-    """Record that an answer or consent is late, because connections to the address may have fallen silent.
+    """Record that an answer or consent is late, because connections to the address may have stopped responding.
 
     Parameters
     ----------
--- a/packages/lanedock-daemon/lanedock_daemon/path/headers.py
+++ b/packages/lanedock-daemon/lanedock_daemon/path/headers.py
@@ -54,7 +54,7 @@
 # Milliseconds to wait before the next request to a rate-limited upstream; absent if requests
 # may be sent at once.
 TURN_HEADER = "x-lanedock-turn-ms"
-# The incarnation of the application that the request is addressed to, and the calling service.
+# The incarnation of the application that the request is addressed to.
 UPSTREAM_HEADER = "x-lanedock-upstream"
 # Milliseconds left until the target time, which counts from the caller's first attempt;
 # 0 once it has passed.
@@ -62,16 +62,18 @@
 # On an interim answer: bytes per second at which to send the request's body.
 PACE_HEADER = "x-lanedock-pace"
 # From a stopping daemon: milliseconds within which the request may be passed on to an
-# application. If it starts later, the daemon has ended before the answer. The deadline is unaffected.
+# application. A request that starts later would be answered after the daemon has ended.
+# The deadline is unaffected.
 START_BY_HEADER = "x-lanedock-start-by-ms"
 # The most urgent traffic class among the requests that the caller's application is processing.
 PARENT_HEADER = "x-lanedock-parent-class"
 ROUTE_HEADER = "x-lanedock-route"
+# The calling service.
 CALLER_HEADER = "x-lanedock-caller"
 # On a refusal: milliseconds after which the request may be retried.
 RETURN_HEADER = "x-lanedock-retry-after-ms"
-# On the daemon's answer for an application that ended during the request: the request's
-# fingerprint, and the application ends that the request is suspected to have caused.
+# On the daemon's answer for an application that crashed during the request: the request's
+# fingerprint, and the crashes that the request is suspected to have caused.
 SUSPECT_HEADER = "x-lanedock-suspect"
 CRASHES_HEADER = "x-lanedock-crashes"
 # On a refusal: the request reached the application, and the application refused it.
--- a/packages/lanedock-daemon/lanedock_daemon/path/parser.py
+++ b/packages/lanedock-daemon/lanedock_daemon/path/parser.py
@@ -146,11 +146,11 @@
         return self._heads.popleft()
 
     def has_head(self) -> bool:
-        """Tell whether a complete head is buffered."""
+        """Return whether a complete head is buffered."""
         return bool(self._heads)
 
     def has_rest(self) -> bool:
-        """Tell whether data of a further message was received."""
+        """Return whether data of a further message was received."""
         return bool(self._heads) or self.is_in_head
 
     def discard_read_ahead(self, kept: Message | None = None) -> None:
@@ -183,7 +183,7 @@
         raise ConnectionError("the connection ended before the end of a message body")
 
     def _tolerates_parse_error(self) -> bool:
-        """Tell whether the bytes that can't be parsed follow the last expected message."""
+        """Return whether the bytes that can't be parsed follow the last expected message."""
         return False
 
     def _receive(self) -> bool:
--- a/packages/lanedock-daemon/lanedock_daemon/path/pool.py
+++ b/packages/lanedock-daemon/lanedock_daemon/path/pool.py
@@ -128,7 +128,7 @@
             reader.conn.close()
 
     def has_open(self, address: tuple[str, int]) -> bool:
-        """Tell whether any connection to an address, in use or idle, is known to be open."""
+        """Return whether any connection to an address, in use or idle, is known to be open."""
         return any(
             reader_address == address and reader.conn.is_clean() for reader, reader_address in self._addresses.items()
         )
--- a/packages/lanedock-daemon/lanedock_daemon/path/server.py
+++ b/packages/lanedock-daemon/lanedock_daemon/path/server.py
@@ -100,7 +100,7 @@
         return self.limits.header_timeout_ms / 1000, self.limits.idle_timeout_ms / 1000
 
     def is_over_connection_limit(self) -> bool:
-        """Tell whether more than `max_kept` connections are open."""
+        """Return whether more than `max_kept` connections are open."""
         return self._max_kept is not None and len(self._connections) > self._max_kept
 
     def _end_oldest_idle(self) -> None:
@@ -120,7 +120,7 @@
         return self._plan.is_begun
 
     def is_over(self) -> bool:
-        """Tell whether the process is stopping and the deadline for final answers has passed."""
+        """Return whether the process is stopping and the deadline for final answers has passed."""
         return self._plan.is_begun and monotonic() >= self._plan.deadline
 
     def acquire_worker(self) -> Worker:
--- a/packages/lanedock-daemon/lanedock_daemon/path/service.py
+++ b/packages/lanedock-daemon/lanedock_daemon/path/service.py
@@ -77,7 +77,7 @@
             raise LanedockError(ErrorCode.ADDRESS_TAKEN, f"{self._address}: {exc}") from exc
 
     def _is_idle(self) -> bool:
-        """Tell whether the server has nothing left to do and may stop."""
+        """Return whether the server has nothing left to do and may stop."""
         return not self.in_progress
 
     def begin_stop(self) -> None:
--- a/packages/lanedock-daemon/lanedock_daemon/path/slot_gate.py
+++ b/packages/lanedock-daemon/lanedock_daemon/path/slot_gate.py
@@ -136,7 +136,7 @@
             return own
         return parent.name
 
-    def reserve(self, request: Request, traffic_class: str, wanted: AdmissionRequest) -> Refused | None:
+    def reserve(self, request: Request, traffic_class: str, admission: AdmissionRequest) -> Refused | None:
         """Reserve capacity on the link and a slot, waiting for both if necessary.
 
         Capacity on the link comes first, because a slot must not be held while other bodies are
@@ -144,16 +144,16 @@
         link meanwhile, the slot is released and the request waits again.
         """
         while True:
-            refused = self.bodies.enter(request, traffic_class, wanted) or self._acquire(traffic_class, wanted)
+            refused = self.bodies.enter(request, traffic_class, admission) or self._acquire(traffic_class, admission)
             if refused is not None or self.bodies.begin(request):
                 return refused
             self.limiter.release(traffic_class, None, monotonic())
 
-    def _acquire(self, traffic_class: str, wanted: AdmissionRequest) -> Refused | None:
+    def _acquire(self, traffic_class: str, admission: AdmissionRequest) -> Refused | None:
         """Acquire a slot, waiting for it if necessary."""
         now = monotonic()
         admitted = Signal()
-        result = self.limiter.acquire(traffic_class, wanted, now, admitted.set)
+        result = self.limiter.acquire(traffic_class, admission, now, admitted.set)
         if result is None or isinstance(result, Refused):
             return result
         if self.limiter.rate.is_limited and not self._rate_admission:
@@ -170,7 +170,7 @@
             raise
         if not result.is_evicted and (is_admitted or not self.limiter.cancel(result)):
             return None
-        return self.limiter.refuse(wanted, monotonic())
+        return self.limiter.refuse(admission, monotonic())
 
     def _leave_queue(self, queued: QueuedRequest, traffic_class: str) -> None:
         """Release a request's place in the queue, or the slot that it has just been given."""
--- a/packages/lanedock-daemon/lanedock_daemon/path/upstream.py
+++ b/packages/lanedock-daemon/lanedock_daemon/path/upstream.py
@@ -56,7 +56,7 @@
 
 __all__ = ["UpstreamSide"]
 
-# Headers that this side sets anew and therefore doesn't pass on.
+# Headers that this side sets itself and therefore doesn't pass on.
 _REPLACED_HEADERS = (ATTEMPT_HEADER, DEADLINE_HEADER, TRACE_HEADER)
 
 
@@ -194,8 +194,8 @@
         target_time = _read_monotonic_time(request, TARGET_HEADER, started)
         log.route = read_name(request.header(ROUTE_HEADER))
         start_by = _read_monotonic_time(request, START_BY_HEADER, started)
-        wanted = AdmissionRequest(deadline, target_time, log.route, start_by)
-        refused = self._gate.reserve(request, traffic_class, wanted)
+        admission = AdmissionRequest(deadline, target_time, log.route, start_by)
+        refused = self._gate.reserve(request, traffic_class, admission)
         log.waited = monotonic() - started
         if refused is not None:
             why = {"waited_ms": round(1000 * log.waited, 1), **self._gate.load()}
@@ -253,7 +253,7 @@
         return ErrorCode.QUARANTINED if self._is_quarantined(hasher) else None
 
     def _is_quarantined(self, hasher: RequestHasher) -> bool:
-        """Tell whether the part of a request that has come so far belongs to a quarantined request."""
+        """Return whether the part of a request that has come so far belongs to a quarantined request."""
         # Hardly any request has the head of a quarantined one, so this saves the digest's 1 us.
         if not self._quarantine.has_head(hasher.head):
             return False
@@ -347,7 +347,7 @@
         self._gate.update_rate()
         is_registered = bool(self._registration.upstream)
         if report.is_draining and not (is_registered or self._view.is_draining):
-            # An application without an id can't be told from its next incarnation, so the drain
+            # An application without an id can't be distinguished from its next incarnation, so the drain
             # lasts until the daemon ends.
             self._view.is_draining = True
             self._events.emit(Event.DRAINING, service=self._service)
--- a/packages/lanedock-daemon/lanedock_daemon/path/work.py
+++ b/packages/lanedock-daemon/lanedock_daemon/path/work.py
@@ -14,7 +14,7 @@
 class Work:
     """A request that the application runs, with the slot that it holds.
 
-    One of the methods has to be called when the run ends.
+    Exactly one of the ``end_*`` methods has to be called when the run ends.
 
     Parameters
     ----------
@@ -47,15 +47,18 @@
         self._crashes.note_refused(self._run)
 
     def end_abandoned(self) -> None:
-        """End a run for which nobody waits any more."""
+        """End a run whose answer is no longer awaited."""
         self._slot.release()
         self._crashes.note_abandoned(self._run)
 
     def end_lost(self) -> Fingerprint | None:
         """End a run whose connection broke.
 
-        Returns the request's fingerprint if the request is suspected of having crashed the
-        application, else None.
+        Returns
+        -------
+        Fingerprint or None
+            The request's fingerprint if the request is suspected of having crashed the
+            application, else None.
         """
         self._slot.release()
         hasher = self._run.hasher
@@ -70,7 +73,13 @@
         return hasher.fingerprint()
 
     def end_failed(self, exc: ExchangeError) -> Fingerprint | None:
-        """End a run that got no answer; returns the same as `end_lost`."""
+        """End a run that got no answer.
+
+        Returns
+        -------
+        Fingerprint or None
+            As for `end_lost`.
+        """
         if exc.is_broken:
             return self.end_lost()
         if exc.outcome == Outcome.NOT_RUN:
--- a/packages/lanedock-daemon/lanedock_daemon/tests/test_framed.py
+++ b/packages/lanedock-daemon/lanedock_daemon/tests/test_framed.py
@@ -77,7 +77,7 @@
         owner = Owner()
         stream = FramedTransport(None).open_source(owner, address)
         stream.open(messages.DaemonMessage(floor_token=1))
-        # The kernel sends its second packet after a second.
+        # The kernel retransmits the SYN after 1 s.
         with gevent.Timeout(0.8):
             while not owner.posted:
                 gevent.sleep(0.01)
--- a/packages/lanedock/lanedock/canary/analysis.py
+++ b/packages/lanedock/lanedock/canary/analysis.py
@@ -49,8 +49,8 @@
 SLOW_BUCKETS = 1
 # Lower bound of a slow answer's time, in seconds: shorter times vary with process scheduling.
 SLOW_MIN = 0.05
-# Seconds without an answer of the stable version after which it no longer shows the effect of the
-# current load, and the fraction that replaces `EXCESS` then.
+# Age, in seconds, of the stable version's last answer above which its counts don't show the effect
+# of the current load and are no baseline; `EXCESS` is then replaced by the fraction below.
 BASELINE_MAX_AGE = 1.0
 EXCESS_WITHOUT_BASELINE = 0.35
 # Seconds after the canary's first answer in which its times don't count: its upstreams are cold.
--- a/packages/lanedock/lanedock/canary/evidence.py
+++ b/packages/lanedock/lanedock/canary/evidence.py
@@ -22,8 +22,13 @@
     Attributes
     ----------
     source : str
-        Daemon that has counted the requests: the daemon of the upstream.
-    sent, answered, failed : int
+        Name of the daemon that counted the requests: the daemon of the upstream.
+    sent : int
+        Number of requests passed on to the upstream's application.
+    answered : int
+        Number of answered requests, including failures and lost answers.
+    failed : int
+        Failures and lost answers among `answered`.
     times : list of int
         Number of answers that did not fail in each time bucket.
     """
@@ -51,7 +56,7 @@
             self.times[bucket] += count - (former.times[bucket] if former else 0)
 
 
-class Totals:
+class VersionTotals:
     """Sums over all routes and upstreams of one version."""
 
     __slots__ = ("answered", "failed", "sent")
@@ -62,7 +67,7 @@
         self.failed = 0
 
     def __repr__(self) -> str:
-        return f"<Totals sent={self.sent} answered={self.answered} failed={self.failed}>"
+        return f"<VersionTotals sent={self.sent} answered={self.answered} failed={self.failed}>"
 
     def add(self, increment: Increment) -> None:
         """Add an increment to the sums."""
@@ -81,15 +86,16 @@
 
     Attributes
     ----------
-    stable, canary : Totals
+    stable, canary : VersionTotals
         Sums of the stable version and of the canary.
     """
 
     def __init__(self, number: int):
         self._number = number
-        self._known: dict[str, tuple[int, dict[tuple[str, str], messages.CanaryCounts]]] = {}
-        self.stable = Totals()
-        self.canary = Totals()
+        # Incarnation and last counts by (route, upstream) of each daemon.
+        self._last_counts: dict[str, tuple[int, dict[tuple[str, str], messages.CanaryCounts]]] = {}
+        self.stable = VersionTotals()
+        self.canary = VersionTotals()
 
     def __repr__(self) -> str:
         return f"<Evidence of {self._number}: stable={self.stable!r} canary={self.canary!r}>"
@@ -110,11 +116,11 @@
         return increments
 
     def _take_daemon(self, name: str, state: messages.DaemonState) -> list[Increment]:
-        known = self._known.get(name)
-        if known is not None and known[0] > state.incarnation:
+        last = self._last_counts.get(name)
+        if last is not None and last[0] > state.incarnation:
             return []
         increments = []
-        rows = known[1] if known is not None and known[0] == state.incarnation else {}
+        rows = last[1] if last is not None and last[0] == state.incarnation else {}
         for counts in state.canary_counts:
             if counts.number != self._number:
                 continue
@@ -130,5 +136,5 @@
             increment.add(counts, former)
             increments.append(increment)
             rows[key] = counts
-        self._known[name] = (state.incarnation, rows)
+        self._last_counts[name] = (state.incarnation, rows)
         return increments
--- a/packages/lanedock/lanedock/config/core.py
+++ b/packages/lanedock/lanedock/config/core.py
@@ -136,7 +136,7 @@
 
 
 class CallerLimits:
-    """Size limits and time-outs for callers' requests.
+    """Size limits and timeouts for callers' requests.
 
     Parameters
     ----------
--- a/packages/lanedock/lanedock/config/load.py
+++ b/packages/lanedock/lanedock/config/load.py
@@ -154,7 +154,7 @@
 
 
 def _differs_only_in_routes(tree: ConfigTree, base: ConfigTree, names: set[str]) -> bool:
-    """Tell whether two versions differ only in routes within the named groups."""
+    """Return whether two versions differ only in routes within the named groups."""
     if MESH_GROUP in names:
         return False
     for name in filter(is_service_group, names):
@@ -185,7 +185,7 @@
 
 
 def _has_known_targets(config: MeshConfig, items: list[dict], is_partial: bool) -> bool:
-    """Tell whether routes name only known traffic classes and services; see `_check_references`."""
+    """Return whether routes name only known traffic classes and services; see `_check_references`."""
     document = Document("", {}, "")
     services = config.services.keys()
     for item in items:
@@ -197,7 +197,7 @@
 
 
 def _is_unambiguous(config: MeshConfig, added: list[Route]) -> bool:
-    """Tell whether all routes have unique names, and no added route is shadowed by or shadows another."""
+    """Return whether all routes have unique names, and no added route is shadowed by or shadows another."""
     if len({route.name for route in config.routes}) < len(config.routes):
         return False
     hosts = {route.host for route in added}
--- a/packages/lanedock/lanedock/config/tree.py
+++ b/packages/lanedock/lanedock/config/tree.py
@@ -127,7 +127,7 @@
 
     @classmethod
     def from_packed(cls, number: int, packed: bytes) -> "ConfigTree":
-        """Deserialize the tree of a whole version from the output of `pack`.
+        """Deserialize the tree of a complete version from the output of `pack`.
 
         Raises
         ------
@@ -282,7 +282,7 @@
 
 
 def is_service_group(name: str) -> bool:
-    """Tell whether a group is the main group of a service, not the mesh group or a route group."""
+    """Return whether a group is the main group of a service, not the mesh group or a route group."""
     return name != MESH_GROUP and _ROUTE_GROUP_SEPARATOR not in name
 
 
--- a/packages/lanedock/lanedock/consensus/candidacy.py
+++ b/packages/lanedock/lanedock/consensus/candidacy.py
@@ -83,8 +83,8 @@
         """Grant or refuse a vote or pre-vote in the current term."""
         state = self._state
         if request.trial:
-            is_unbound = not self._election.supports_other_lease(message.sender, now)
-            self.send_reply(message, is_unbound and self.can_vote_for(request), trial=True)
+            has_no_other_lease = not self._election.supports_other_lease(message.sender, now)
+            self.send_reply(message, has_no_other_lease and self.can_vote_for(request), trial=True)
             return
         granted = state.voted_for in ("", message.sender) and self.can_vote_for(request)
         if granted:
--- a/packages/lanedock/lanedock/consensus/core.py
+++ b/packages/lanedock/lanedock/consensus/core.py
@@ -1,5 +1,5 @@
 # SPDX-License-Identifier: BSD-3-Clause
-"""Data types that the consensus core and its driver exchange."""
+"""Data types that the consensus core exchanges with its driver, the code that calls the core and does its I/O."""
 
 from enum import Enum
 
--- a/packages/lanedock/lanedock/consensus/election.py
+++ b/packages/lanedock/lanedock/consensus/election.py
@@ -100,7 +100,7 @@
         self.grant_lease(me, now)
 
     def reset(self, now: float, is_candidate: bool = False) -> None:
-        """Schedule the next candidacy anew."""
+        """Reschedule the next candidacy."""
         if now < self._fast_retry_until and not is_candidate:
             # The other replicas may still be starting, so retry after one heartbeat interval.
             self.due_at = now + self._timing.heartbeat
--- a/packages/lanedock/lanedock/consensus/reads.py
+++ b/packages/lanedock/lanedock/consensus/reads.py
@@ -10,13 +10,13 @@
     Parameters
     ----------
     token : int
-        Number that the requesting replica's driver gave the read.
+        Number of the read, chosen by the code that runs the requesting replica's core.
     origin : str
         Id of the replica that requested the read.
     index : int
         Log index that has to be applied before the read is answered.
     probe : int
-        Heartbeat round that confirms the read once a quorum has answered it.
+        Number of the heartbeat round that confirms the read once a quorum has answered it.
     """
 
     __slots__ = ("index", "origin", "probe", "token")
@@ -63,7 +63,7 @@
         return True
 
     def clear(self, me: str) -> list[int]:
-        """Remove all reads and return the tokens of those that this replica's own driver requested."""
+        """Remove all reads and return the tokens of the reads that this replica requested itself."""
         own = [read.token for read in self._pending if read.origin == me]
         own += sorted(self._forwarded)
         self._pending = []
--- a/packages/lanedock/lanedock/consensus/replica.py
+++ b/packages/lanedock/lanedock/consensus/replica.py
@@ -167,7 +167,7 @@
         return self._state.can_vote()
 
     def take_ready(self) -> Ready:
-        """Return the pending work for the driver, and start collecting anew."""
+        """Return the work collected since the last call, for the code that runs the replica to do."""
         state = self._state
         ready = state.ready
         if state.commit_index > state.delivered and ready.snapshot is None:
--- a/packages/lanedock/lanedock/findings/fields.py
+++ b/packages/lanedock/lanedock/findings/fields.py
@@ -66,7 +66,7 @@
         return cls(source, value, "", [])
 
     def __contains__(self, name: str) -> bool:
-        """Tell whether a field is present and not empty."""
+        """Return whether a field is present and not empty."""
         return bool(self._value.get(name))
 
     def finish(self) -> None:
@@ -144,12 +144,12 @@
 
 
 def is_number(value: object) -> bool:
-    """Tell whether a value is a finite number."""
+    """Return whether a value is a finite number."""
     return isinstance(value, (int, float)) and not isinstance(value, bool) and -_MAX_NUMBER <= value <= _MAX_NUMBER
 
 
 def _is_text(value: object) -> bool:
-    """Tell whether a value is a string without lone surrogates, which JSON escapes can produce."""
+    """Return whether a value is a string without lone surrogates, which JSON escapes can produce."""
     if not isinstance(value, str):
         return False
     try:
--- a/packages/lanedock/lanedock/limits/bodies.py
+++ b/packages/lanedock/lanedock/limits/bodies.py
@@ -136,7 +136,7 @@
         rate = self._assumed_rate()
         in_flight = self._bytes_in_flight(now)
         is_alone = not (in_flight or self.waiting)
-        # A body that is alone on the link measures its rate anew, however low the former estimate.
+        # A body that is alone on the link measures its rate again, however low the former estimate.
         if is_alone:
             self._admit(transfer, now)
             return transfer
@@ -289,7 +289,7 @@
         return not occupying or (len(occupying) < _MIN_CONCURRENT and occupying[0].is_slow(now, occupying[0].pace))
 
     def _is_probe_due(self, now: float) -> bool:
-        """Tell whether a body may be admitted as a probe, to find out what late bodies wait for.
+        """Return whether a body may be admitted as a probe, to find out what late bodies wait for.
 
         If the probe begins to arrive soon, the late bodies wait for their senders and not for
         the link; see `_mark_overtaken`.
--- a/packages/lanedock/lanedock/limits/body_transfer.py
+++ b/packages/lanedock/lanedock/limits/body_transfer.py
@@ -12,7 +12,7 @@
 # Fraction of a rate up to which a body counts as slow. Half, as other bodies that arrive
 # meanwhile take a part of the link.
 _SLOW_FRACTION = 0.5
-# Fraction of the bytes that a slow sender delivers in `QUEUE_TIME` which count as in flight.
+# A slow sender's body counts as in flight with this fraction of what it delivers in `QUEUE_TIME`.
 # Below 1, so that further slow senders are admitted until they fill the link; BBR's windows of
 # twice the bandwidth-delay product find unused bandwidth in the same way.
 _OVERTAKEN_FRACTION = 0.5
@@ -98,7 +98,7 @@
             self.remaining = max(0, self.remaining - size)
 
     def is_slow(self, now: float, rate: float) -> bool:
-        """Tell whether the body arrives at less than half of a rate, or of its pace if that is lower.
+        """Return whether the body arrives at less than half of a rate, or of its pace if that is lower.
 
         Parameters
         ----------
--- a/packages/lanedock/lanedock/limits/delivery_rate.py
+++ b/packages/lanedock/lanedock/limits/delivery_rate.py
@@ -24,8 +24,8 @@
 
 
 # Age up to which a sample counts, in seconds. While nothing fills a link, its rate may change
-# unnoticed: after a minute of light load, a surge admitted at the former rate of a link that
-# had become narrow occupied it for 1.9 s.
+# unnoticed. When a link became narrow during a minute of light load, the next surge, admitted
+# at the old rate, filled it for 1.9 s.
 _MAX_SAMPLE_AGE = 30.0
 
 
--- a/packages/lanedock/lanedock/limits/queue.py
+++ b/packages/lanedock/lanedock/limits/queue.py
@@ -49,16 +49,20 @@
 class QueuedRequest:
     """A request that waits for a slot.
 
-    Attributes
+    Parameters
     ----------
     traffic_class : str
     request : AdmissionRequest
     on_admitted : callable
-        Called without arguments when the request gets a slot, or when it is evicted.
-    is_evicted : bool
-        Whether the request was removed in favor of one of a higher priority.
+        Called without arguments when the request stops waiting: it got a slot or was evicted,
+        see `is_evicted`.
     expires_at : float
         Monotonic, seconds; the request waits until then.
+
+    Attributes
+    ----------
+    is_evicted : bool
+        Whether the request was removed in favor of one of a higher priority.
     """
 
     __slots__ = ("expires_at", "is_evicted", "on_admitted", "request", "traffic_class")
@@ -125,7 +129,7 @@
         return True
 
     def has_queued(self, traffic_class: str) -> bool:
-        """Tell whether requests of a class wait."""
+        """Return whether requests of a class wait."""
         return bool(self._by_class.get(traffic_class))
 
     def pop_first(self, traffic_class: str) -> QueuedRequest:
@@ -151,7 +155,7 @@
         return len(self.list_ahead(traffic_class, request))
 
     def has_room(self, traffic_class: str) -> bool:
-        """Tell whether another request of a class may wait."""
+        """Return whether another request of a class may wait."""
         if self._length >= self.limit:
             return False
         lengths = {name: len(waiting) for name, waiting in self._by_class.items()}
@@ -167,8 +171,9 @@
         """Evict the last request of a full queue if a given request precedes it.
 
         The last request belongs to the least urgent class that holds more than its share
-        of the queue. Without eviction, less urgent requests that wait would keep more
-        urgent ones out of a short queue.
+        of the queue, or to the request's own class if no less urgent class does. Without
+        eviction, less urgent requests that wait would keep more urgent ones out of a short
+        queue.
 
         Returns
         -------
--- a/packages/lanedock/lanedock/limits/rate.py
+++ b/packages/lanedock/lanedock/limits/rate.py
@@ -129,7 +129,7 @@
         return wait
 
     def next_turn(self, now: float, queued: int) -> float:
-        """Assign the next turn to a caller.
+        """Reserve the time of a caller's next request under the rate limit, and return the wait until then.
 
         Parameters
         ----------
--- a/packages/lanedock/lanedock/limits/shares.py
+++ b/packages/lanedock/lanedock/limits/shares.py
@@ -21,10 +21,10 @@
 
     Does no I/O and reads no clock.
 
-    A class may exceed its own share while the free slots cover what is reserved for the
-    other classes. Against a class of long requests, the whole of their unused shares is
-    reserved. A class of short requests frees its slots soon, so against it only the slots
-    that each of the others has used recently, and one more for each, are reserved.
+    A class may exceed its own share while more slots are free than are reserved for the
+    other classes. A class of long requests must leave free all unused slots of their shares.
+    A class of short requests frees its slots soon, so it must leave free only what
+    each of the others used at its recent peak, plus one slot, and doesn't use now.
 
     Parameters
     ----------
@@ -72,7 +72,7 @@
         return [name for name, used in self._by_class.items() if used]
 
     def has_room(self, traffic_class: str, mean_time: float, now: float) -> bool:
-        """Tell whether a class may take a slot.
+        """Return whether a class may take a slot.
 
         Parameters
         ----------
--- a/packages/lanedock/lanedock/limits/slots.py
+++ b/packages/lanedock/lanedock/limits/slots.py
@@ -25,10 +25,10 @@
 # are means, and requests of a higher priority may be admitted first; for callers an immediate
 # refusal is better than a refusal after a wait.
 _WAIT_MARGIN = 1.5
-# Time that a request may wait at least, in mean intervals between freed slots, provided that it
-# can still be answered in time: one interval times the margin above. Otherwise no request would
-# wait where service times are close to callers' timeouts, and late retries would take every
-# free slot.
+# Mean intervals between freed slots for which any request may wait if it can still be answered in
+# time. Slightly more than `_WAIT_MARGIN`, so that a request next in line is queued. Without this
+# allowance, no request would wait where service times are close to callers' timeouts, and late
+# retries, which don't wait, would take every free slot.
 _NEXT_SLOTS = 1.6
 # Upper bound of the estimated wait in a retry delay, in seconds; the estimate is infinite where
 # the application accepts no requests at all.
@@ -251,7 +251,7 @@
         return min(estimate * self._rng.uniform(*_RETRY_SPREAD), max(0.0, request.deadline - now))
 
     def next_turn(self, now: float) -> float:
-        """Assign the next turn to a caller; see `RateLimiter.next_turn`."""
+        """Reserve a caller's next request under the rate limit, and return its wait; see `RateLimiter.next_turn`."""
         return self.rate.next_turn(now, self.waiting)
 
     def latest_start(self, request: AdmissionRequest, now: float) -> float:
@@ -280,8 +280,8 @@
         """Return the time until which a request may wait.
 
         The time is before `now` for a retry that is already late. If late retries could
-        wait, each behind all others for its whole estimated wait, they would take slots
-        from requests that can still be answered in time.
+        wait, each until all requests ahead of it are served, they would take slots from
+        requests that can still be answered in time.
         """
         if request.target_time is None:
             return request.start_by
--- a/packages/lanedock/lanedock/limits/tests/test_bodies.py
+++ b/packages/lanedock/lanedock/limits/tests/test_bodies.py
@@ -140,7 +140,8 @@
         link.schedule(0.0, link.upload)
     link.run()
     assert len(link.received_at) == 20
-    # Two bodies, or what the link delivers in the time of a round trip and of a short queue.
+    # A message waits for at most the permitted queue: two bodies, or what the link delivers in a round trip
+    # plus QUEUE_TIME.
     assert max(link.message_waits) <= 2 * QUEUE_TIME + BODY / NARROW
     # A sample taken after a pause, when buffered bytes arrive at once, does not exceed the known rate.
     link.bodies.update(link.now)
--- a/packages/lanedock/lanedock/membership/advertised_rate.py
+++ b/packages/lanedock/lanedock/membership/advertised_rate.py
@@ -71,7 +71,7 @@
         self._answers_without_rate = 0
 
     def adopt(self, rate: float | None, now: float) -> bool:
-        """Use the limit that the mesh knows unless an answer has set or ended it; return whether it has changed."""
+        """Use the limit published in the mesh unless an answer has set or ended it; return whether it has changed."""
         if self._has_answered or rate == self.rate:
             return False
         self.rate = self._published = rate
@@ -79,7 +79,7 @@
         return True
 
     def mark_published_if_changed(self) -> bool:
-        """Mark the limit as published if the mesh has to learn of a change; return whether it has to."""
+        """Mark the limit as published if a change has to be published; return whether it has."""
         if not self._differs_from_published():
             return False
         self._published = self.rate
--- a/packages/lanedock/lanedock/membership/registration.py
+++ b/packages/lanedock/lanedock/membership/registration.py
@@ -58,7 +58,7 @@
     incarnation : Incarnation
         Current incarnation; its id is empty before the application has registered.
     revision : int
-        Increases with every change that the mesh has to learn.
+        Increases with every change that has to be published to the mesh.
     is_leaving : bool
         Whether the current incarnation takes no new requests.
     slots : int
@@ -122,7 +122,7 @@
         Returns
         -------
         bool
-            Whether the mesh has to learn of a change.
+            Whether a change has to be published.
         """
         incarnation = heartbeat.incarnation
         if incarnation.upstream == self.upstream:
@@ -166,7 +166,7 @@
         return is_sending and now - self._last_heartbeat_at > self._silence_limit
 
     def _apply_heartbeat(self, heartbeat: Heartbeat, now: float) -> bool:
-        """Copy the reported values of the current incarnation; return whether the mesh has to learn of a change."""
+        """Copy the reported values of the current incarnation; return whether a change has to be published."""
         self._sequence = heartbeat.sequence
         self._last_heartbeat_at = self._last_contact_at = now
         self.cold_until = now + heartbeat.cold_left
@@ -214,7 +214,7 @@
         Returns
         -------
         bool
-            Whether the mesh has to learn of a change.
+            Whether a change has to be published.
         """
         rival = self.rival
         if rival is None or upstream not in (self.upstream, rival.upstream):
@@ -340,7 +340,7 @@
         return True
 
     def _merge_current(self, incarnation: Incarnation, is_leaving: bool, version: str) -> bool:
-        """Add what the mesh knows of the current incarnation; return whether something has changed."""
+        """Add the mesh's information on the current incarnation; return whether something has changed."""
         if not self.incarnation.started:
             self.incarnation = incarnation
         is_learned = self.version == UNKNOWN_VERSION != version
@@ -353,7 +353,7 @@
         return has_begun_leaving or is_learned
 
     def learn_version(self, version: str) -> None:
-        """Use the version that the mesh knows if the application has reported none."""
+        """Use the version published in the mesh if the application has reported none."""
         if version and not self.version:
             self.version = version
 
@@ -389,7 +389,7 @@
         return is_changed
 
     def check_silence(self, now: float) -> bool:
-        """Update whether the application is silent; return whether that has changed, which the mesh has to learn."""
+        """Update whether the application is silent; return whether that has changed and has to be published."""
         is_silent = bool(self.upstream) and now - self._last_contact_at > self._silence_limit
         if is_silent == self._is_silent:
             return False
--- a/packages/lanedock/lanedock/membership/registry.py
+++ b/packages/lanedock/lanedock/membership/registry.py
@@ -18,8 +18,8 @@
 MAX_ENDED_INCARNATIONS = 4096
 
 
-class _ReplicaReport:
-    """Endpoints that another control instance has reported."""
+class _PeerEndpoints:
+    """Endpoints that another control instance has reported so far."""
 
     __slots__ = ("endpoints", "sequence")
 
@@ -46,7 +46,7 @@
         super().__init__(window)
         self._retention = keep
         self._registered: dict[str, messages.Endpoint] = {}
-        self._replica_reports: dict[str, _ReplicaReport] = {}
+        self._peer_endpoints: dict[str, _PeerEndpoints] = {}
         self._unreported_since: dict[str, float] = {}
         self._ended_incarnations: dict[Incarnation, None] = {}
         self._changed: set[str] = set()
@@ -81,14 +81,14 @@
         Returns
         -------
         bool
-            False if an earlier report is missing, so that a whole report is needed.
+            False if an earlier report is missing, so that a complete report is needed.
         """
-        source = self._replica_reports.get(replica)
+        source = self._peer_endpoints.get(replica)
         affected = {endpoint.instance for endpoint in report.changed} | set(report.gone)
         if report.whole:
             if source is not None:
                 affected |= set(source.endpoints)
-            source = self._replica_reports[replica] = _ReplicaReport()
+            source = self._peer_endpoints[replica] = _PeerEndpoints()
         elif source is None or report.sequence != source.sequence + 1:
             return False
         source.sequence = report.sequence
@@ -102,7 +102,7 @@
 
     def forget_source(self, replica: str, now: float) -> None:
         """Discard the reports of a control instance that no longer responds."""
-        source = self._replica_reports.pop(replica, None)
+        source = self._peer_endpoints.pop(replica, None)
         for name in source.endpoints if source else ():
             self._update_endpoint(name, now)
 
@@ -140,7 +140,7 @@
 
     def _update_endpoint(self, name: str, now: float) -> None:
         """Update one endpoint from all registrations and reports of it."""
-        reported = [source.endpoints[name] for source in self._replica_reports.values() if name in source.endpoints]
+        reported = [source.endpoints[name] for source in self._peer_endpoints.values() if name in source.endpoints]
         if name in self._registered:
             reported.append(self._registered[name])
         current = self._latest(name)
@@ -161,13 +161,13 @@
     def _apply_ended(self, endpoint: messages.Endpoint) -> None:
         """Record an ended incarnation, or mark an endpoint as ended if its incarnation has ended before.
 
-        The same id may return with another start time.
+        Ids are reused, so an incarnation is identified by id and start time.
         """
         if not endpoint.upstream:
             return
         incarnation = incarnation_of(endpoint)
         if endpoint.ended:
-            # A restarted daemon may report the incarnation next, without knowing its start time.
+            # Also without start time, as a restarted daemon may report the incarnation at first.
             for former in (incarnation, Incarnation(endpoint.upstream)):
                 self._ended_incarnations[former] = None
             while len(self._ended_incarnations) > MAX_ENDED_INCARNATIONS:
--- a/packages/lanedock/lanedock/quarantine/core.py
+++ b/packages/lanedock/lanedock/quarantine/core.py
@@ -19,14 +19,15 @@
 
 __all__ = ["MAX_CRASHES", "MAX_CRASHES_KEPT", "SUSPECT_PAUSE", "Quarantine"]
 
-# Crashes under a request after which it is quarantined. An innocent request may run beside two
-# crashes by chance, if its retry goes to the same upstream as the retry of the request that
-# causes them, but hardly ever beside three without being served in between.
+# Crashes during a request after which it is quarantined. An innocent request may be in progress at
+# two crashes by chance: its retry and that of the request at fault may reach the same upstream.
+# It is hardly ever in progress at three without being served in between.
 MAX_CRASHES = 3
-# Seconds for which a request is blocked after `MAX_CRASHES` - 1 crashes. An innocent request is
-# retried by its caller. If the request causes the crashes, the crashed upstreams are back and
-# warm by then (restart 4 s, warm-up 3 s), so all upstreams are available at the last crash.
-# Without this pause one request can crash five of six upstreams within 0.5 s.
+# Seconds for which a request is blocked after `MAX_CRASHES` - 1 crashes. The pause is
+# harmless to an innocent request, which its caller retries later. If the request causes the
+# crashes, the crashed upstreams have restarted and warmed up by then (restart 4 s, warm-up 3 s),
+# so all upstreams are available at the last crash. Without this pause one request can crash five
+# of six upstreams within 0.5 s.
 SUSPECT_PAUSE = 10.0
 # Seconds for which a request is quarantined and a suspicion counts. Long, because the trial that
 # follows may crash an upstream; a release with a fix is usually deployed by then.
@@ -237,7 +238,7 @@
         return head in self._heads
 
     def quarantined(self) -> list[Fingerprint]:
-        """Return the requests in quarantine, blocked until an operator clears them or it expires."""
+        """Return the requests in quarantine, blocked until an operator clears them or the quarantine expires."""
         return [item.fingerprint for item in self._suspects.values() if item.is_quarantined()]
 
     def find(self, whole: bytes) -> Fingerprint | None:
@@ -264,7 +265,7 @@
         return _make_messages(self._suspects.values(), now)
 
     def missed_by(self, suspicions: list[messages.Suspicion], now: float) -> list[messages.Suspicion]:
-        """Return the suspicions that are cleared here but not yet in a neighbour's list."""
+        """Return the suspicions in a neighbour's list that are cleared here but not there."""
         missed = []
         for item in suspicions:
             suspect = self._suspects.get(item.whole)
--- a/packages/lanedock/lanedock/quarantine/fingerprint.py
+++ b/packages/lanedock/lanedock/quarantine/fingerprint.py
@@ -1,5 +1,5 @@
 # SPDX-License-Identifier: BSD-3-Clause
-"""Fingerprints that identify a request, independently of who sends it and where."""
+"""Fingerprints that identify a request by method, host, target, customer and body, whichever daemon handles it."""
 
 from hashlib import blake2b
 
@@ -23,7 +23,7 @@
     head : bytes
         Digest of method, host, target and customer.
     whole : bytes
-        Digest of these and of the body; equal to `head` if there is no body.
+        Digest of these and of the body's first `BODY_LIMIT` bytes; equal to `head` if there is no body.
     """
 
     __slots__ = ("head", "whole")
@@ -78,7 +78,7 @@
 
     @property
     def is_complete(self) -> bool:
-        """Whether all bytes that are hashed were added."""
+        """Whether all bytes to be hashed have been added."""
         return self._bytes_left <= 0
 
     def update(self, piece: bytes) -> None:
--- a/packages/lanedock/lanedock/quarantine/runs.py
+++ b/packages/lanedock/lanedock/quarantine/runs.py
@@ -8,7 +8,7 @@
 # Seconds for which a run whose connection broke remains a suspect. A crash that is not noticed at
 # once is noticed by the application's next start, which follows within this time or much later.
 LOST_SUSPECT_TIME = 10.0
-# Seconds for which a run whose caller has gone remains a suspect. An application that reacts to a
+# Seconds for which a run whose caller has disconnected remains a suspect. An application that reacts to a
 # closed connection has cancelled the run by then.
 ABANDONED_SUSPECT_TIME = 0.5
 # Upper bound of the ended runs that are stored; more than an application has slots.
@@ -72,7 +72,7 @@
         ----------
         run : Run
         is_lost : bool
-            Whether its connection broke; otherwise its caller has gone.
+            Whether its connection broke; otherwise its caller has disconnected.
         now : float
         """
         if run not in self._running:
--- a/packages/lanedock/lanedock/quarantine/served.py
+++ b/packages/lanedock/lanedock/quarantine/served.py
@@ -6,7 +6,7 @@
 __all__ = ["RecentlyServed"]
 
 # Seconds for which a served request is not suspected at the upstream that served it. A frequent
-# request runs beside every crash and would be suspected of each. A request that begins to crash
+# request is in progress at every crash and would be suspected of each. A request that begins to crash
 # upstreams after it was served (new data, a new release) is suspected with this delay.
 SERVED_RETENTION = 30.0
 # Upper bound of stored requests: 0.15 MB. Covers two seconds of 500 distinct requests a second.
--- a/packages/lanedock/lanedock/rollout/coordinator.py
+++ b/packages/lanedock/lanedock/rollout/coordinator.py
@@ -17,7 +17,8 @@
     stage_timeout : float
         Time for all required daemons to stage a version before it is aborted.
     dead_after : float
-        Time without a connection after which an instance may count as dead.
+        Time without a connection after which an instance counts as dead if daemons of its
+        zone report that they can't reach it.
     """
 
     __slots__ = ("dead_after", "stage_timeout")
@@ -115,10 +116,10 @@
         connected = self._fleet.daemons()
         refusals = [state for state in connected.values() if _has_refused(state, candidate)]
         if refusals:
-            return _abort(candidate, ErrorCode.STAGING_REFUSED, _refusal_findings(refusals))
+            return _make_abort(candidate, ErrorCode.STAGING_REFUSED, _refusal_findings(refusals))
         staged = {name for name, state in connected.items() if _has_staged(state, candidate)}
         required = self._fleet.required(set(candidate.allow_cut_off), now)
-        # Without the platform's list, the set of daemons that the version has to reach is unknown.
+        # Without the platform's list of instances, the set of daemons that the version has to reach is unknown.
         if self._fleet.is_list_known and required <= staged:
             command = messages.Command()
             command.accept.version = candidate.version
@@ -127,12 +128,12 @@
             return command
         if now - self._staging_started_at < self._policy.stage_timeout:
             return None
-        return _abort(candidate, ErrorCode.STAGING_TIMEOUT, self._timeout_findings(required - staged, connected))
+        return _make_abort(candidate, ErrorCode.STAGING_TIMEOUT, self._timeout_findings(required - staged, connected))
 
     def _timeout_findings(self, unstaged: set[str], connected: dict) -> list[messages.FindingRecord]:
         if not self._fleet.is_list_known:
             code = ErrorCode.PLATFORM_UNREADABLE
-            return [messages.FindingRecord(code=code.code, message="the platform's list has never been read")]
+            return [messages.FindingRecord(code=code.code, message="the platform's instance list has never been read")]
         findings = []
         for name in sorted(unstaged):
             zone_name = connected[name].zone if name in connected else self._fleet.zone_of(name)
@@ -174,7 +175,7 @@
     return state.refused_version == candidate.version and state.refused_digest == candidate.digest
 
 
-def _abort(candidate, code: ErrorCode, findings: list) -> messages.Command:
+def _make_abort(candidate, code: ErrorCode, findings: list) -> messages.Command:
     command = messages.Command()
     command.abort.version = candidate.version
     command.abort.digest = candidate.digest
--- a/packages/lanedock/lanedock/rollout/distributor.py
+++ b/packages/lanedock/lanedock/rollout/distributor.py
@@ -68,7 +68,7 @@
     Parameters
     ----------
     whole_files : bool
-        Whether to send each version whole to each daemon, as the baseline for benchmarks.
+        Whether to send each version completely to each daemon, as the baseline for benchmarks.
     """
 
     def __init__(self, whole_files: bool = False):
@@ -215,7 +215,7 @@
         This is the last version sent, which arrives first, and not the last one reported.
         With the reported version as the base, a change that is accepted while the previous one
         is in transit refers to a base that the daemon has already replaced, so the daemon
-        requests the whole version.
+        requests the complete version.
         """
         state = child.state
         digest = state.in_force_digest
--- a/packages/lanedock/lanedock/rollout/fleet.py
+++ b/packages/lanedock/lanedock/rollout/fleet.py
@@ -28,7 +28,8 @@
     Parameters
     ----------
     dead_after : float
-        Seconds without a connection before an instance may count as dead.
+        Seconds without a connection after which an instance counts as dead if daemons of its
+        zone report that they can't reach it.
     silent_after : float
         Seconds after which the reports of a silent control instance are discarded.
     """
@@ -59,7 +60,7 @@
         Returns
         -------
         bool
-            False if an earlier report is missing, so that a whole report is needed.
+            False if an earlier report is missing, so that a complete report is needed.
         """
         replica_report = self._reports.get(replica)
         if report.whole:
@@ -91,7 +92,7 @@
 
     @property
     def is_list_known(self) -> bool:
-        """Whether the platform's list has ever been read."""
+        """Whether the platform's list of instances has ever been read."""
         return self._instances is not None
 
     def replicas(self) -> set[str]:
--- a/packages/lanedock/lanedock/rollout/holder.py
+++ b/packages/lanedock/lanedock/rollout/holder.py
@@ -51,7 +51,8 @@
     dropped : int
         Number of outdated messages that were ignored.
     wants_whole : bool
-        Whether the daemon needs a whole version, because the last push could not be used.
+        Whether the daemon needs a push with the complete content instead of a difference, because
+        the last push could not be used.
     refused : Version
         Last version that failed its checks.
     findings : list of FindingRecord
@@ -126,7 +127,7 @@
         return True
 
     def put_in_force(self, push: messages.ConfigPush) -> bool:
-        """Put an accepted version in force from a push that contains its content.
+        """Put an accepted version in force; the push contains its content, in case it is not staged.
 
         Returns
         -------
@@ -144,7 +145,7 @@
         return True
 
     def activate(self, number: int, digest: bytes) -> bool:
-        """Put the staged version in force once it is accepted.
+        """Put an accepted version in force if it is staged; its content is not sent again.
 
         Returns
         -------
@@ -178,7 +179,7 @@
             tree = ConfigTree.from_push(push, bases)
         except LanedockError:
             # The base is missing or the message is corrupt, so the version itself is not
-            # refused. The daemon requests the whole version from its source instead.
+            # refused. The daemon requests the complete version from its source instead.
             self.wants_whole = True
             return None
         self.wants_whole = False
@@ -198,7 +199,7 @@
 
 
 def record_finding(finding: Finding) -> messages.FindingRecord:
-    """Convert a finding and its location to a message."""
+    """Convert a finding and its location to a message; nothing is recorded."""
     place = finding.place
     return messages.FindingRecord(
         code=finding.code.code,
--- a/packages/lanedock/lanedock/rollout/state.py
+++ b/packages/lanedock/lanedock/rollout/state.py
@@ -5,7 +5,7 @@
 it is proposed, so the log determines the order of concurrent submissions.
 
 A submission normally contains only its difference from the accepted version. Each replica
-rebuilds the whole version from the contents that it keeps, which are the same on all replicas.
+rebuilds the complete version from the contents that it keeps, which are the same on all replicas.
 """
 
 from enum import Enum
--- a/packages/lanedock/lanedock/rollout/tests/test_storms.py
+++ b/packages/lanedock/lanedock/rollout/tests/test_storms.py
@@ -97,9 +97,9 @@
 
 @pytest.mark.parametrize("delay", [IDLE_DELAY, BUSY_DELAY])
 def test_rapid_changes_are_activated_without_queueing_on_a_narrow_link(delay):
-    # With both faults, the delays are 7.3 and 8.0 s, and versions need 1.5 and 1.6 times the
-    # bandwidth. With groups of few routes, but bases as daemons reported them, the delays are
-    # 0.01 and 4.8 s.
+    # With both faults described above, the delays are 7.3 and 8.0 s, and versions need 1.5 and 1.6
+    # times the bandwidth. With only the first one mended (small groups of routes, but deltas to the
+    # versions that daemons reported), the delays are 0.01 and 4.8 s.
     longest_delay, fraction = _simulate(delay)
     assert longest_delay < delay + 0.05
     assert fraction < 0.1
--- a/packages/lanedock/lanedock/routing/balancer.py
+++ b/packages/lanedock/lanedock/routing/balancer.py
@@ -75,7 +75,7 @@
     def set_endpoints(
         self, endpoints: list[messages.Endpoint], now: float, pools: dict[str, Pool] | None = None
     ) -> None:
-        """Replace the list of upstreams, keeping the statistics of those that stay.
+        """Replace the list of upstreams, keeping the statistics of upstreams that remain listed.
 
         Parameters
         ----------
--- a/packages/lanedock/lanedock/telemetry/totals.py
+++ b/packages/lanedock/lanedock/telemetry/totals.py
@@ -6,7 +6,7 @@
 
 __all__ = ["RequestTotals"]
 
-# Maximum number of pairs of route and outcome counted between two reports; further routes are
+# Number of (side, route, outcome) entries between two reports from which further routes are
 # counted together.
 _MAX_ENTRIES = 256
 _OTHER_ROUTES = "other"
--- a/packages/lanedock/lanedock/testing/upstream.py
+++ b/packages/lanedock/lanedock/testing/upstream.py
@@ -52,7 +52,7 @@
         return f"<BadVersion share={self.share} factor={self.factor} path={self.path}>"
 
     def hits(self, path: str, age: float, in_progress: int) -> bool:
-        """Tell whether a request meets it: `age` seconds after the first, beside others in progress."""
+        """Return whether a request meets it: `age` seconds after the first, beside others in progress."""
         if not path.startswith(self.path) or age < self.after or in_progress <= self.above:
             return False
         return random.random() < self.share
@@ -190,7 +190,7 @@
             return self._work(environ, start_response)
 
     def _is_hopeless(self, environ: dict) -> bool:
-        """Tell whether a request's deadline passes before its work is done."""
+        """Return whether a request's deadline passes before its work is done."""
         left_ms = environ.get(DEADLINE_HEADER, "")
         return left_ms.isdigit() and int(left_ms) / 1000 < self._work_time()
 
@@ -267,7 +267,7 @@
 
 
 def _is_closed(conn) -> bool:
-    """Tell whether the other side has closed a connection."""
+    """Return whether the other side has closed a connection."""
     try:
         return not conn._sock.recv(1, plain_socket.MSG_PEEK | plain_socket.MSG_DONTWAIT)
     except BlockingIOError:
