--- a/examples/embed_log.py
+++ b/examples/embed_log.py
@@ -31,14 +31,14 @@
         sent = []
         while True:
             ready = self.replica.take_ready()
-            sent += ready.early
+            sent += ready.messages_before_sync
             if ready.must_sync():
                 hard_state = HardState(self.replica.term, self.replica.voted_for)
                 self.storage.save(hard_state, ready.entries)
-                self.replica.persisted(self.replica.log.last_index, now)
-            sent += ready.late
+                self.replica.mark_persisted(self.replica.log.last_index, now)
+            sent += ready.messages_after_sync
             self.applied += [entry.payload for entry in ready.committed if entry.payload]
-            if not (ready.early or ready.late or ready.committed or ready.must_sync()):
+            if not (ready.messages_before_sync or ready.messages_after_sync or ready.committed or ready.must_sync()):
                 return sent
 
 
--- a/examples/embed_rollout.py
+++ b/examples/embed_rollout.py
@@ -40,7 +40,7 @@
     def exchange(self) -> None:
         """Tell the state, and take what is due for it."""
         self.source.update(self.child, self.state())
-        for message in self.source.due(self.child):
+        for message in self.source.due_messages(self.child):
             if message.HasField("stage"):
                 self.holder.stage(message.stage)
             elif message.HasField("activate"):
@@ -55,7 +55,7 @@
     receivers = [Receiver("first", "one", source), Receiver("second", "two", source)]
     tree = split_config(FILE)
     for step in (VersionSource(candidate=tree), VersionSource(accepted=tree)):
-        source.set_source(step)
+        source.set_versions(step)
         for receiver in receivers:
             receiver.exchange()
             print(receiver.name, receiver.holder)
--- a/packages/lanedock-daemon/lanedock_daemon/agent/discovery.py
+++ b/packages/lanedock-daemon/lanedock_daemon/agent/discovery.py
@@ -13,7 +13,7 @@
 import gevent
 from gevent.event import Event as Signal
 
-from lanedock.clock import awake
+from lanedock.clock import running_time
 from lanedock.kernel import Kernel, Service
 from lanedock.membership import Incarnation, UpstreamRegistration
 from lanedock.telemetry import Event, EventLogger
@@ -136,15 +136,15 @@
     def _apply_health(self, facts: HealthFacts) -> None:
         """Update the registration from an answer of the health check."""
         registration = self._registration
-        now = awake()
+        now = running_time()
         queried = Incarnation(facts.upstream) if facts.upstream else registration.incarnation
         is_leaving = facts.report.is_draining
         if registration.rival is not None:
-            is_changed = registration.settle(facts.upstream, now)
+            is_changed = registration.resolve_rival(facts.upstream, now)
             self._events.emit(
                 Event.RIVAL_SETTLED, upstream=registration.upstream, answered=facts.upstream, changed=is_changed
             )
-        elif (facts.is_well or is_leaving) and facts.upstream and not registration.upstream:
+        elif (facts.is_healthy or is_leaving) and facts.upstream and not registration.upstream:
             is_changed = registration.adopt(facts.upstream, registration.service, is_leaving, facts.slots, now)
             if is_changed:
                 self._events.emit(
--- a/packages/lanedock-daemon/lanedock_daemon/agent/registration.py
+++ b/packages/lanedock-daemon/lanedock_daemon/agent/registration.py
@@ -11,7 +11,7 @@
 
 import re
 
-from lanedock.clock import awake
+from lanedock.clock import running_time
 from lanedock.errors import ErrorCode, LanedockError
 from lanedock.findings import FieldReader, Finding, FindingsError, Place
 from lanedock.membership import Heartbeat, Incarnation, UpstreamRegistration, UpstreamReport
@@ -19,7 +19,15 @@
 from lanedock.wire import messages
 from lanedock_daemon.path.http import Answer, Outcome, Request, make_refusal, read_whole
 
-__all__ = ["MAX_BODY", "MAX_COLD", "MAX_SLOTS", "Registrar", "RegistrationSide", "check_upstream_id", "refuse_call"]
+__all__ = [
+    "MAX_BODY",
+    "MAX_SLOTS",
+    "MAX_WARM_UP",
+    "Registrar",
+    "RegistrationHandler",
+    "check_upstream_id",
+    "make_refusal_answer",
+]
 
 _PREFIX = "/upstreams/"
 # Longest body of a heartbeat, in bytes. Bounds memory; a valid body is far shorter.
@@ -28,7 +36,7 @@
 MAX_SLOTS = 2**32 - 1
 # Longest warm-up time that an application may report, in seconds: an endpoint message carries
 # 32 bits of milliseconds.
-MAX_COLD = MAX_SLOTS / 1000
+MAX_WARM_UP = MAX_SLOTS / 1000
 # Ids occur in request headers and logs: printable ASCII without a slash, short enough to leave
 # room for the other headers of a request.
 _ID = re.compile(r"[!-.0-~]{1,256}")
@@ -73,7 +81,7 @@
         self._events = events
         self._unreadable_at = 0.0
 
-    def beat(self, heartbeat: Heartbeat) -> None:
+    def process_heartbeat(self, heartbeat: Heartbeat) -> None:
         """Accept a heartbeat.
 
         Raises
@@ -84,7 +92,7 @@
         """
         registration = self._registration
         before, was_leaving = registration.incarnation, registration.is_leaving
-        is_changed = registration.beat(heartbeat, awake())
+        is_changed = registration.process_heartbeat(heartbeat, running_time())
         if registration.lacks_start(heartbeat):
             raise LanedockError(
                 ErrorCode.BAD_REQUEST, f"{heartbeat!r} lacks the start time with which this id is registered"
@@ -96,7 +104,7 @@
             self._on_rival()
         if not is_changed:
             return
-        is_other = not registration.incarnation.may_be(before)
+        is_other = not registration.incarnation.may_equal(before)
         if is_other:
             self._events.emit(
                 Event.UPSTREAM_REGISTERED,
@@ -131,7 +139,7 @@
         incarnation : Incarnation
             Incarnation that the request was sent to.
         """
-        now = awake()
+        now = running_time()
         if report.unreadable and now >= self._unreadable_at:
             self._unreadable_at = now + UNREADABLE_INTERVAL
             self._events.emit(Event.RATE_LIMIT_UNREADABLE, upstream=incarnation.upstream, value=report.unreadable)
@@ -144,9 +152,9 @@
         if report.is_draining and registration.upstream:
             self.leave(incarnation.upstream, incarnation.started)
 
-    def learn_rate(self, rate: float) -> None:
+    def adopt_rate(self, rate: float) -> None:
         """Use the rate limit reported by another daemon until an answer of the application states one."""
-        if self._registration.advertised.adopt(rate, awake()):
+        if self._registration.advertised.adopt(rate, running_time()):
             self._emit_rate()
 
     def _emit_rate(self) -> None:
@@ -165,7 +173,7 @@
             endpoint.service,
             endpoint.ended,
             endpoint.slots,
-            awake(),
+            running_time(),
             endpoint.upstream_started,
             endpoint.version,
             endpoint.rate_limit if endpoint.HasField("rate_limit") else None,
@@ -178,7 +186,7 @@
             self._on_rival()
 
 
-class RegistrationSide:
+class RegistrationHandler:
     """Serves the HTTP interface through which an application registers.
 
     Parameters
@@ -197,14 +205,14 @@
         try:
             return self._handle(request, upstream)
         except LanedockError as exc:
-            return refuse_call(exc)
+            return make_refusal_answer(exc)
 
     def _handle(self, request: Request, upstream: str) -> Answer:
         check_upstream_id(SOURCE, upstream)
         if request.method == "DELETE":
             self._registrar.leave(upstream)
         elif request.method == "PUT":
-            self._registrar.beat(self._read_heartbeat(upstream, read_whole(request.body, MAX_BODY)))
+            self._registrar.process_heartbeat(self._read_heartbeat(upstream, read_whole(request.body, MAX_BODY)))
         else:
             raise LanedockError(ErrorCode.BAD_REQUEST, f"{request.method} is not supported; use PUT or DELETE")
         return Answer(204, "No Content", [], [])
@@ -215,18 +223,18 @@
             upstream,
             fields.text("service"),
             fields.count("sequence", 0),
-            fields.word("state", _STATES, "ready"),
+            fields.choice("state", _STATES, "ready"),
             fields.count("slots", 0, MAX_SLOTS, 0),
             fields.number("cold_ms", MAX_SLOTS, 0) / 1000,
             fields.count("started", 0, default=0),
             fields.text("version", ""),
         )
         fields.check("service", self._registrar.knows_service(heartbeat.service), "a service of the version in force")
-        fields.finish()
+        fields.raise_findings()
         return heartbeat
 
 
-def refuse_call(exc: LanedockError) -> Answer:
+def make_refusal_answer(exc: LanedockError) -> Answer:
     """Return the answer that refuses a request of the application; invalid fields make it a bad request."""
     code = ErrorCode.BAD_REQUEST if isinstance(exc, FindingsError) else exc.code
     return make_refusal(code, Outcome.NOT_RUN, 0.0, str(exc))
--- a/packages/lanedock-daemon/lanedock_daemon/agent/relay.py
+++ b/packages/lanedock-daemon/lanedock_daemon/agent/relay.py
@@ -30,7 +30,9 @@
         self._versions = None
         self._bases: list = []
 
-    def arrive(self, session: Session, message: messages.DaemonMessage, endpoints: messages.EndpointUpdate) -> None:
+    def admit_or_refuse(
+        self, session: Session, message: messages.DaemonMessage, endpoints: messages.EndpointUpdate
+    ) -> None:
         """Admit a daemon that has connected.
 
         Parameters
@@ -43,11 +45,11 @@
         """
         self._admit(session, message, endpoints)
 
-    def _take(self, session: Session, message: messages.DaemonMessage) -> None:
+    def _apply_message(self, session: Session, message: messages.DaemonMessage) -> None:
         if message.floor_token:
             self._waiting_floors.append((session, message.floor_token))
 
-    def set_source(self, accepted, staged) -> None:
+    def set_versions(self, accepted, staged) -> None:
         """Set the versions that downstream daemons receive.
 
         Parameters
@@ -61,7 +63,7 @@
         if accepted is not None and accepted not in self._bases:
             self._bases = [*self._bases, accepted][-MAX_DELTA_BASES:]
         bases = {tree.version.digest: tree for tree in self._bases}
-        self.distributor.set_source(VersionSource(accepted, staged, bases))
+        self.distributor.set_versions(VersionSource(accepted, staged, bases))
 
     def wants_floor(self) -> bool:
         """Return whether a downstream daemon waits for confirmation of the newest version.
--- a/packages/lanedock-daemon/lanedock_daemon/agent/report.py
+++ b/packages/lanedock-daemon/lanedock_daemon/agent/report.py
@@ -3,7 +3,7 @@
 
 import time
 
-from lanedock.clock import awake, monotonic
+from lanedock.clock import monotonic, running_time
 from lanedock.quarantine import Quarantine
 from lanedock.settings import Settings
 from lanedock.wire import messages
@@ -123,7 +123,7 @@
         endpoint.ClearField("rate_limit")
         if registration.advertised.published is not None:
             endpoint.rate_limit = registration.advertised.published
-        endpoint.cold_ms = int(1000 * registration.cold_left(awake()))
+        endpoint.cold_ms = int(1000 * registration.cold_left(running_time()))
         endpoint.revision = revision
 
 
@@ -205,6 +205,6 @@
             message.floor_token = self._floor_token
         message.attestations.extend(self._attestations)
         self._attestations = []
-        news = self._quarantine.take_news(self._suspicions, now)
-        message.suspicions.extend(self._quarantine.whole_news(now) if is_first else news)
+        changes = self._quarantine.take_changes(self._suspicions, now)
+        message.suspicions.extend(self._quarantine.all_suspicions(now) if is_first else changes)
         return message
--- a/packages/lanedock-daemon/lanedock_daemon/agent/search.py
+++ b/packages/lanedock-daemon/lanedock_daemon/agent/search.py
@@ -144,7 +144,7 @@
         self._relay = (relay, address)
         return 0.0
 
-    def note_refusal(self, retry_after: float) -> float:
+    def wait_after_refusal(self, retry_after: float) -> float:
         """Return the wait before reconnecting, in seconds: the time that the source gave and up to 10% jitter."""
         return retry_after * self._rng.uniform(1.0, 1.1)
 
--- a/packages/lanedock-daemon/lanedock_daemon/agent/service.py
+++ b/packages/lanedock-daemon/lanedock_daemon/agent/service.py
@@ -3,22 +3,22 @@
 
 import random
 
-from lanedock.clock import awake, monotonic
+from lanedock.clock import monotonic, running_time
 from lanedock.kernel import Kernel, TaskService
 from lanedock.settings import Address, Settings
 from lanedock.telemetry import Event, EventLogger, Metric, Metrics
 from lanedock.wire import messages
-from lanedock_daemon.agent.attest import AttestationsCompleted, Attester
-from lanedock_daemon.agent.registration import Registrar
-from lanedock_daemon.agent.relay import RelaySessions
-from lanedock_daemon.agent.report import SourceReport, StateReport
-from lanedock_daemon.agent.scouting import (
+from lanedock_daemon.agent.probing import (
     PROBE_TIMEOUT,
     FreshnessProbe,
     FreshnessProbes,
     ProbeSchedule,
     SourceFreshness,
 )
+from lanedock_daemon.agent.reachability import AttestationsCompleted, Attester
+from lanedock_daemon.agent.registration import Registrar
+from lanedock_daemon.agent.relay import RelaySessions
+from lanedock_daemon.agent.report import SourceReport, StateReport
 from lanedock_daemon.agent.search import SourceSearch
 from lanedock_daemon.agent.versions import VersionLag, VersionReceiver
 from lanedock_daemon.agent.view import LocalView
@@ -131,7 +131,7 @@
 
     def on_tick(self) -> None:
         now = monotonic()
-        if self._view.upstream is not None and self._view.upstream.check_silence(awake()):
+        if self._view.upstream is not None and self._view.upstream.check_silence(running_time()):
             self._events.emit(Event.UPSTREAM_SILENT, upstream=self._view.upstream.upstream)
         if not self._view.note_alive():
             self._events.emit(Event.SUSPENDED, version=self._holder.in_force_version.number)
@@ -251,7 +251,7 @@
         first = self._make_message(with_state=True, is_first=True, now=now)
         first.failed_relays.extend(self._search.failed_relays(now))
         if self._relay is not None:
-            first.fleet_report.CopyFrom(self._relay.distributor.take_report(whole=True))
+            first.fleet_report.CopyFrom(self._relay.distributor.make_report(whole=True))
         self._report_at = now + REPORT_INTERVAL
         self._stream.open(first)
 
@@ -329,13 +329,13 @@
             redirect = message.redirect
             wait = self._search.note_redirect(redirect.relay, Address(redirect.host, redirect.port))
         else:
-            wait = self._search.note_refusal(message.refusal.retry_after_ms / 1000)
+            wait = self._search.wait_after_refusal(message.refusal.retry_after_ms / 1000)
         self._connect_at = now + wait
         if wait == 0:
             self._connect(now)
 
     def _on_endpoints(self, update: messages.EndpointUpdate) -> None:
-        self._view.take_endpoints(update)
+        self._view.apply_endpoints(update)
         for endpoint in update.changed:
             if endpoint.instance == self._settings.name:
                 self._state.ensure_later_incarnation(endpoint.incarnation)
@@ -392,7 +392,7 @@
         self._report_at = now + REPORT_INTERVAL
         message = self._make_message(with_state=is_changed, is_first=False, now=now)
         if has_report:
-            message.fleet_report.CopyFrom(self._relay.distributor.take_report(whole=False))
+            message.fleet_report.CopyFrom(self._relay.distributor.make_report(whole=False))
         self._stream.send(message)
 
     def _relayed_freshness(self, now: float) -> tuple[int, float]:
@@ -404,4 +404,4 @@
         holder = self._holder
         accepted = holder.in_force.tree if holder.in_force else None
         staged = holder.staged.tree if holder.staged else None
-        self._relay.set_source(accepted, staged)
+        self._relay.set_versions(accepted, staged)
--- a/packages/lanedock-daemon/lanedock_daemon/agent/tests/sources.py
+++ b/packages/lanedock-daemon/lanedock_daemon/agent/tests/sources.py
@@ -6,7 +6,7 @@
 from random import Random
 
 from lanedock.config import split_config
-from lanedock.rollout import Child, Distributor, VersionSource
+from lanedock.rollout import Distributor, Subscriber, VersionSource
 from lanedock.settings import Address, Settings, load_settings
 from lanedock.telemetry import EventLogger, NullMetrics
 from lanedock.wire import messages
@@ -59,7 +59,7 @@
     def monotonic(self) -> float:
         return self.now
 
-    def awake(self) -> float:
+    def running_time(self) -> float:
         return self.now - self.suspended
 
 
@@ -94,7 +94,7 @@
         self.silent_streams: set[_VirtualStream] = set()
         self.cut_off_at: float | None = None
         self.distributor = Distributor()
-        self.sessions: dict[_VirtualStream, Child] = {}
+        self.sessions: dict[_VirtualStream, Subscriber] = {}
         mesh.at(mesh.clock.now + phase, self._beat)
 
     def answers(self) -> bool:
@@ -110,7 +110,7 @@
     def set_accepted(self, tree) -> None:
         """Receive an accepted version, unless cut off from the leader or lagging."""
         if self.cut_off_at is None and not self.is_lagging:
-            self.distributor.set_source(VersionSource(tree))
+            self.distributor.set_versions(VersionSource(tree))
             self.flush()
 
     def catch_up(self) -> None:
@@ -126,7 +126,7 @@
     def flush(self) -> None:
         """Send pending messages to every daemon."""
         for stream, child in self.sessions.items():
-            self.send(stream, self.distributor.due(child))
+            self.send(stream, self.distributor.due_messages(child))
 
     def send(self, stream: "_VirtualStream", batch: list[messages.ControlMessage]) -> None:
         for message in batch:
@@ -157,7 +157,7 @@
             self.send(stream, [first, self._make_heartbeat()])
         elif message.HasField("state"):
             self.distributor.update(child, message.state)
-        self.send(stream, self.distributor.due(child))
+        self.send(stream, self.distributor.due_messages(child))
         if message.floor_token and self.cut_off_at is None:
             floor = messages.ControlMessage()
             floor.floor.token = message.floor_token
@@ -303,7 +303,7 @@
         self.clock = _Clock()
         for module in (service_module, view_module):
             monkeypatch.setattr(module, "monotonic", self.clock.monotonic)
-        monkeypatch.setattr(service_module, "awake", self.clock.awake)
+        monkeypatch.setattr(service_module, "running_time", self.clock.running_time)
         self.phase = rng.uniform(0, 5.0)
         self.accepted = None
         self.link_delay = _DELAY
--- a/packages/lanedock-daemon/lanedock_daemon/agent/tests/test_canaries.py
+++ b/packages/lanedock-daemon/lanedock_daemon/agent/tests/test_canaries.py
@@ -15,7 +15,7 @@
 
 def _view(version: str = "v1") -> LocalView:
     registration = UpstreamRegistration("s", True, 1.0)
-    registration.beat(Heartbeat("i-1", "s", 1, False, 4, 0.0, 0, version), 0.0)
+    registration.process_heartbeat(Heartbeat("i-1", "s", 1, False, 4, 0.0, 0, version), 0.0)
     return LocalView("z", 3.0, registration)
 
 
@@ -34,11 +34,11 @@
 
 def test_a_plan_applies_to_upstreams_known_before_and_after_it():
     view = _view()
-    view.take_endpoints(messages.EndpointUpdate(changed=[_endpoint("old", "v1"), _endpoint("new", "v2")]))
+    view.apply_endpoints(messages.EndpointUpdate(changed=[_endpoint("old", "v1"), _endpoint("new", "v2")]))
     assert _chosen(view) == {"old", "new"}
     assert view.follow_canaries(_plan(1, canary="v2", share_permille=80, step=1))
     assert (_chosen(view), _chosen(view, Pool.CANARY)) == ({"old"}, {"new"})
-    view.take_endpoints(messages.EndpointUpdate(changed=[_endpoint("newer", "v2"), _endpoint("restarted", "?")]))
+    view.apply_endpoints(messages.EndpointUpdate(changed=[_endpoint("newer", "v2"), _endpoint("restarted", "?")]))
     assert (_chosen(view), len(_chosen(view, Pool.CANARY))) == ({"old"}, 1)
     assert view.follow_canaries(_plan(2, withheld=["v2"]))
     assert (_chosen(view), _chosen(view, Pool.CANARY)) == ({"old"}, set())
@@ -48,7 +48,7 @@
     view = _view()
     assert view.follow_canaries(_plan(5, withheld=["v2"]))
     assert not view.follow_canaries(_plan(4, canary="v2", share_permille=1000))
-    assert not view.canaries.take("s")
+    assert not view.canaries.assign_request("s")
 
 
 @pytest.mark.parametrize(
@@ -62,7 +62,7 @@
 )
 def test_only_a_displaced_upstream_with_requests_in_progress_is_reported_as_busy(version, rule, is_busy):
     view = _view(version)
-    view.set_work(_Work())
+    view.set_slot_limiter(_Work())
     view.follow_canaries(_plan(1, **rule))
     assert view.is_displaced_busy() is is_busy
 
@@ -79,5 +79,5 @@
 def test_a_heartbeat_with_a_new_version_is_a_change():
     registration = UpstreamRegistration("s", True, 1.0)
     registration.adopt("i-1", "s", False, 4, 0.0)
-    assert registration.beat(Heartbeat("i-1", "s", 1, False, 4, 0.0, 0, "v2"), 0.1)
-    assert not registration.beat(Heartbeat("i-1", "s", 2, False, 4, 0.0, 0, "v2"), 0.2)
+    assert registration.process_heartbeat(Heartbeat("i-1", "s", 1, False, 4, 0.0, 0, "v2"), 0.1)
+    assert not registration.process_heartbeat(Heartbeat("i-1", "s", 2, False, 4, 0.0, 0, "v2"), 0.2)
--- a/packages/lanedock-daemon/lanedock_daemon/agent/tests/test_scouting.py
+++ b/packages/lanedock-daemon/lanedock_daemon/agent/tests/test_probing.py
@@ -7,7 +7,7 @@
 import pytest
 
 from lanedock.settings import Address
-from lanedock_daemon.agent.scouting import ROUND_WAIT_MAX, ProbeSchedule, SourceFreshness
+from lanedock_daemon.agent.probing import ROUND_WAIT_MAX, ProbeSchedule, SourceFreshness
 
 OTHERS = [Address("10.0.1.1", 7000), Address("10.0.2.1", 7000)]
 
--- a/packages/lanedock-daemon/lanedock_daemon/agent/tests/test_registration.py
+++ b/packages/lanedock-daemon/lanedock_daemon/agent/tests/test_registration.py
@@ -15,7 +15,7 @@
 from lanedock.membership import UpstreamRegistration
 from lanedock.settings import Address
 from lanedock.telemetry import EventLogger
-from lanedock_daemon.agent.registration import Registrar, RegistrationSide
+from lanedock_daemon.agent.registration import Registrar, RegistrationHandler
 from lanedock_daemon.path.http import Body, Request
 from lanedock_daemon.path.server import PathServer
 
@@ -25,9 +25,9 @@
 PAUSE = 0.05
 
 
-def _make_side() -> RegistrationSide:
+def _make_side() -> RegistrationHandler:
     registration = UpstreamRegistration("s", True, 1.0)
-    return RegistrationSide(Registrar(registration, lambda: None, lambda: None, EventLogger("d")))
+    return RegistrationHandler(Registrar(registration, lambda: None, lambda: None, EventLogger("d")))
 
 
 @pytest.fixture
--- a/packages/lanedock-daemon/lanedock_daemon/agent/tests/test_search.py
+++ b/packages/lanedock-daemon/lanedock_daemon/agent/tests/test_search.py
@@ -59,7 +59,7 @@
 
 
 def test_the_retry_time_of_a_refusal_is_kept_with_a_little_jitter(search):
-    waits = {search.note_refusal(2.0) for _ in range(20)}
+    waits = {search.wait_after_refusal(2.0) for _ in range(20)}
     assert all(2.0 <= wait <= 2.2 for wait in waits)
     assert len(waits) > 10
 
--- a/packages/lanedock-daemon/lanedock_daemon/agent/view.py
+++ b/packages/lanedock-daemon/lanedock_daemon/agent/view.py
@@ -9,7 +9,7 @@
 from lanedock.limits import RetryBudget, SavingBudget, SlotLimiter
 from lanedock.membership import freshness
 from lanedock.quarantine import Quarantine
-from lanedock.rollout import Held, VersionHolder
+from lanedock.rollout import HeldVersion, VersionHolder
 from lanedock.routing import Balancer, BalancerPolicy, RouteTable
 from lanedock.wire import messages
 
@@ -27,14 +27,14 @@
 
     Parameters
     ----------
-    held : Held
+    held : HeldVersion
     former : Binding, optional
         Binding of the previous version; unchanged parts of its route table are shared.
     """
 
     __slots__ = ("config", "number", "table")
 
-    def __init__(self, held: Held, former: "Binding | None" = None):
+    def __init__(self, held: HeldVersion, former: "Binding | None" = None):
         self.config: MeshConfig = held.config
         self.number: int = held.version.number
         self.table = former.table.evolve(held.config) if former is not None else RouteTable(held.config)
@@ -151,11 +151,11 @@
             self._newer_since = monotonic()
         self._newer = max(self._newer, number)
 
-    def set_work(self, limiter: SlotLimiter) -> None:
+    def set_slot_limiter(self, limiter: SlotLimiter) -> None:
         """Set the limiter that holds the requests in progress at the daemon's application."""
         self._slot_limiter = limiter
 
-    def parent_class(self, binding: Binding) -> str:
+    def inherited_traffic_class(self, binding: Binding) -> str:
         """Return the most urgent traffic class among the application's requests in progress; empty if there are none.
 
         The application's own calls inherit it, as each is made on behalf of one of these requests.
@@ -166,7 +166,7 @@
         known = [classes[name] for name in self._slot_limiter.classes_in_use() if name in classes]
         return min(known, key=lambda item: item.priority).name if known else ""
 
-    def set_budgets(self, make_budget) -> None:
+    def set_budget_factory(self, make_budget) -> None:
         """Set the factory of retry budgets, called without arguments."""
         self._make_budget = make_budget
 
@@ -204,7 +204,7 @@
     def _has_stalled(self) -> bool:
         return monotonic() - self._alive_at > self._stall_limit
 
-    def take_endpoints(self, update: messages.EndpointUpdate) -> None:
+    def apply_endpoints(self, update: messages.EndpointUpdate) -> None:
         """Apply an update of endpoints."""
         affected = set()
         former = self._endpoints
@@ -251,11 +251,11 @@
         if self.upstream is None or self._slot_limiter is None:
             return False
         rule = self.canaries.running(self.upstream.service)
-        if rule is None or not self.canaries.is_whole(self.upstream.service):
+        if rule is None or not self.canaries.has_full_share(self.upstream.service):
             return False
         return classify(rule, self.upstream.version) is Pool.STABLE and self._slot_limiter.in_use > 0
 
-    def age(self) -> dict[str, object]:
+    def unready_details(self) -> dict[str, object]:
         """Return the fields of a log line that explain why nothing may be served."""
         return {
             "in_force": self.holder.in_force_version.number,
--- a/packages/lanedock-daemon/lanedock_daemon/control/canaries.py
+++ b/packages/lanedock-daemon/lanedock_daemon/control/canaries.py
@@ -10,7 +10,7 @@
 from lanedock.rollout import FleetView
 from lanedock.telemetry import Event, EventLogger, Metric, Metrics
 from lanedock.wire import messages
-from lanedock_daemon.control.log import AppliedEntry, ReplicatedLog
+from lanedock_daemon.control.replicated_log import AppliedEntry, ReplicatedLog
 from lanedock_daemon.control.requests import CanaryRequested
 
 __all__ = ["CanaryRequestHandler"]
--- a/packages/lanedock-daemon/lanedock_daemon/control/directories.py
+++ b/packages/lanedock-daemon/lanedock_daemon/control/directories.py
@@ -13,7 +13,7 @@
 from lanedock_daemon.control.distribution import DaemonSessions
 from lanedock_daemon.control.endpoints import EndpointExchange
 from lanedock_daemon.control.leader import SILENCE_TIMEOUT
-from lanedock_daemon.control.log import ReplicatedLog
+from lanedock_daemon.control.replicated_log import ReplicatedLog
 from lanedock_daemon.transport import PeerLinks, Session
 
 __all__ = ["ControlDirectory", "ListedDirectory", "RegisteredDirectory"]
@@ -90,7 +90,7 @@
         if update is not None:
             self._sessions.broadcast_endpoints(update)
 
-    def take_list(self, instances: list[Instance], now: float) -> None:
+    def apply_instance_list(self, instances: list[Instance], now: float) -> None:
         """Apply the platform's list of instances."""
 
     def complete_admission(self, session: Session) -> None:
@@ -165,8 +165,8 @@
         if self._reader is not None:
             self._reader.stop()
 
-    def take_list(self, instances: list[Instance], now: float) -> None:
-        self._directory.take_list(instances, now)
+    def apply_instance_list(self, instances: list[Instance], now: float) -> None:
+        self._directory.apply_instance_list(instances, now)
 
     def apply_report(self, session: Session, message: messages.DaemonMessage, now: float) -> None:
         """Notify daemons and control instances when this daemon, or one that it relays for, starts to drain."""
@@ -176,7 +176,7 @@
         notice = messages.DrainNotice()
         for state in states:
             if not state.draining:
-                self._directory.revive(state.daemon, state.incarnation)
+                self._directory.clear_drain(state.daemon, state.incarnation)
             elif self._directory.drain(state.daemon, state.incarnation, now):
                 notice.instances.append(state.daemon)
                 notice.incarnations.append(state.incarnation)
@@ -196,17 +196,17 @@
         self._links.send([out])
 
     def advance(self, now: float) -> None:
-        suspicions = self._quarantine.take_news(self._suspicion_outbox, now)
+        suspicions = self._quarantine.take_changes(self._suspicion_outbox, now)
         if now >= self._next_repeat_at:
             self._next_repeat_at = now + SUSPICION_REPEAT_INTERVAL
-            suspicions += self._quarantine.held_news(now)
+            suspicions += self._quarantine.blocked_suspicions(now)
         if suspicions:
             self._send_to_all(_make_report(suspicions))
 
     def receive(self, message: messages.PeerMessage, now: float) -> None:
         suspicions = message.endpoint_report.suspicions
         self._quarantine.merge(suspicions, now)
-        missed = self._quarantine.missed_by(suspicions, now)
+        missed = self._quarantine.clearances_missing_from(suspicions, now)
         if missed:
             self._send(replica_name(message.sender), _make_report(missed))
         notice = message.drain_notice
--- a/packages/lanedock-daemon/lanedock_daemon/control/distribution.py
+++ b/packages/lanedock-daemon/lanedock_daemon/control/distribution.py
@@ -4,7 +4,7 @@
 import hashlib
 
 from lanedock.clock import monotonic
-from lanedock.limits import Admission
+from lanedock.limits import AdmissionRateLimiter
 from lanedock.quarantine import Quarantine
 from lanedock.rollout import Distributor, MeshState, VersionSource
 from lanedock.settings import ControlSettings
@@ -62,7 +62,7 @@
         super().__init__(Distributor(cfg.whole_files), metrics, quarantine)
         self._traffic = traffic
         self._cfg = cfg
-        self._admission = Admission(cfg.admissions_per_second, ADMISSION_BURST)
+        self._admission = AdmissionRateLimiter(cfg.admissions_per_second, ADMISSION_BURST)
         self._pending_floors: list[tuple[Session, int]] = []
         self._floor_reads: dict[int, _FloorRead] = {}
         self._read_token = 0
@@ -71,10 +71,10 @@
 
     # ---------------------------------------------------------------- sessions
 
-    def arrive(self, session: Session, message: messages.DaemonMessage, endpoints) -> None:
+    def admit_or_refuse(self, session: Session, message: messages.DaemonMessage, endpoints) -> None:
         """Admit a daemon, redirect it to a relay, or refuse it with a retry delay."""
         now = monotonic()
-        wait = self._admission.ask(now)
+        wait = self._admission.acquire(now)
         if wait > 0:
             refusal = messages.ControlMessage()
             refusal.refusal.retry_after_ms = int(wait * 1000) + 1
@@ -93,9 +93,9 @@
         if self._traffic is not None:
             self._traffic.count_daemon_message(session, message, size)
 
-    def _take(self, session: Session, message: messages.DaemonMessage) -> None:
+    def _apply_message(self, session: Session, message: messages.DaemonMessage) -> None:
         if message.HasField("fleet_report"):
-            self.distributor.take_relayed(session.child, message.fleet_report)
+            self.distributor.process_relay_report(session.child, message.fleet_report)
         if message.floor_token:
             self._pending_floors.append((session, message.floor_token))
         self._attestations.extend(message.attestations)
@@ -133,9 +133,9 @@
 
     # ----------------------------------------------------------------- outputs
 
-    def set_source(self, source: VersionSource) -> None:
+    def set_versions(self, source: VersionSource) -> None:
         """Replace the versions that daemons are sent."""
-        self.distributor.set_source(source)
+        self.distributor.set_versions(source)
 
     # ------------------------------------------------------------------ floors
 
@@ -191,9 +191,9 @@
                 attesters.append(session)
         return [session for attesters in chosen.values() for session in attesters]
 
-    def take_report(self, whole: bool) -> messages.FleetReport:
+    def make_report(self, whole: bool) -> messages.FleetReport:
         """Return the next report of daemons to the leader, with the attestations received since the last one."""
-        report = self.distributor.take_report(whole)
+        report = self.distributor.make_report(whole)
         report.attestations.extend(self._attestations)
         self._attestations = []
         return report
--- a/packages/lanedock-daemon/lanedock_daemon/control/endpoints.py
+++ b/packages/lanedock-daemon/lanedock_daemon/control/endpoints.py
@@ -82,7 +82,7 @@
         if message.HasField("endpoint_request"):
             reply = messages.PeerMessage(sender=message.receiver, receiver=message.sender)
             reply.endpoint_report.CopyFrom(self._registry.whole_report())
-            reply.endpoint_report.suspicions.extend(self._quarantine.whole_news(now))
+            reply.endpoint_report.suspicions.extend(self._quarantine.all_suspicions(now))
             reply.endpoint_report.zone = self._zone
             return [reply]
         report = message.endpoint_report
@@ -92,7 +92,7 @@
         self._quarantine.merge(report.suspicions, now)
         if report.zone:
             self.zones[sender] = report.zone
-        if self._registry.take_report(sender, report, now):
+        if self._registry.process_report(sender, report, now):
             return []
         request = messages.PeerMessage(sender=message.receiver, receiver=message.sender)
         request.endpoint_request.SetInParent()
@@ -117,7 +117,7 @@
         self._next_report_at = now + REPORT_INTERVAL
         self._next_keepalive_at = now + KEEPALIVE_INTERVAL
         report = self._registry.make_report()
-        report.suspicions.extend(self._quarantine.take_news(self._suspicion_outbox, now))
+        report.suspicions.extend(self._quarantine.take_changes(self._suspicion_outbox, now))
         report.zone = self._zone
         reports = []
         for replica in replicas:
@@ -131,5 +131,5 @@
         for replica, heard_at in list(self._heard_at.items()):
             if now - heard_at > self._silence_timeout:
                 del self._heard_at[replica]
-                self._registry.forget_source(replica, now)
+                self._registry.forget_control_instance(replica, now)
         self._registry.expire(now)
--- a/packages/lanedock-daemon/lanedock_daemon/control/leader.py
+++ b/packages/lanedock-daemon/lanedock_daemon/control/leader.py
@@ -9,7 +9,7 @@
 from lanedock.rollout import FleetView, RolloutCoordinator, RolloutPolicy
 from lanedock.wire import messages
 from lanedock_daemon.control.distribution import DaemonSessions
-from lanedock_daemon.control.log import ReplicatedLog
+from lanedock_daemon.control.replicated_log import ReplicatedLog
 from lanedock_daemon.control.submissions import SubmissionQueue
 
 __all__ = ["SILENCE_TIMEOUT", "FleetReporter", "RolloutLeader"]
@@ -51,7 +51,7 @@
         self._reported_to = target
         self._next_report_at = now + REPORT_INTERVAL
         self._next_keepalive_at = now + KEEPALIVE_INTERVAL
-        return sessions.take_report(whole=is_new)
+        return sessions.make_report(whole=is_new)
 
 
 class RolloutLeader:
@@ -80,23 +80,23 @@
     def __repr__(self) -> str:
         return f"<RolloutLeader {self.fleet!r}>"
 
-    def take_list(self, instances: list[Instance], now: float) -> None:
+    def apply_instance_list(self, instances: list[Instance], now: float) -> None:
         """Store the platform's list of instances, and pass it to the fleet view."""
         self._instances = instances
         if self.fleet is not None:
-            self.fleet.take_list(instances, now)
+            self.fleet.apply_instance_list(instances, now)
 
     def apply_own_report(self, report: messages.FleetReport, now: float) -> None:
         """Apply this control instance's own report of daemons."""
         if self.fleet is None:
             self._start_leading(now)
-        self.fleet.take_report(self._log.replica.me, report, now)
+        self.fleet.process_report(self._log.replica.me, report, now)
 
-    def take_report(self, message: messages.PeerMessage, now: float) -> bool:
+    def process_report(self, message: messages.PeerMessage, now: float) -> bool:
         """Apply another control instance's report; returns False where it has to report all its daemons again."""
         if self.fleet is None or message.term != self._log.replica.term:
             return True
-        return self.fleet.take_report(message.sender, message.fleet_report, now)
+        return self.fleet.process_report(message.sender, message.fleet_report, now)
 
     def refresh(self, now: float) -> bool:
         """Start or stop leading to match the replica's role; returns whether this replica leads."""
@@ -113,7 +113,7 @@
     def _start_leading(self, now: float) -> None:
         self.fleet = FleetView(self._policy.dead_after, SILENCE_TIMEOUT)
         if self._instances is not None:
-            self.fleet.take_list(self._instances, now)
+            self.fleet.apply_instance_list(self._instances, now)
         self._coordinator = RolloutCoordinator(self._log.state, self.fleet, self._policy)
 
     def decide(self, now: float) -> bool:
@@ -131,7 +131,7 @@
         if not self._submissions.is_empty():
             self._submissions.advance(self._log.state.records, self._find_progress)
 
-    def _find_progress(self, version: int, allowed_zones: set[str]):
-        progress = self._coordinator.progress(version, allowed_zones, monotonic())
-        cut_off = [name for name in self.fleet.missing() if self.fleet.zone_of(name) in allowed_zones]
+    def _find_progress(self, version: int, exempt_zones: set[str]):
+        progress = self._coordinator.progress(version, exempt_zones, monotonic())
+        cut_off = [name for name in self.fleet.missing() if self.fleet.zone_of(name) in exempt_zones]
         return progress, cut_off
--- a/packages/lanedock-daemon/lanedock_daemon/control/queries.py
+++ b/packages/lanedock-daemon/lanedock_daemon/control/queries.py
@@ -9,7 +9,7 @@
 from lanedock.rollout import FleetView
 from lanedock.settings import Address
 from lanedock.wire import messages
-from lanedock_daemon.control.log import ReplicatedLog
+from lanedock_daemon.control.replicated_log import ReplicatedLog
 from lanedock_daemon.control.requests import HistoryRequested, ShowRequested
 
 __all__ = ["QueryQueue"]
--- a/packages/lanedock-daemon/lanedock_daemon/control/log.py
+++ b/packages/lanedock-daemon/lanedock_daemon/control/replicated_log.py
@@ -140,17 +140,17 @@
         applied = []
         while True:
             ready = self.replica.take_ready()
-            self._send(ready.early)
+            self._send(ready.messages_before_sync)
             if ready.must_sync():
                 self._sync(ready)
-            self._send(ready.late)
+            self._send(ready.messages_after_sync)
             if ready.snapshot is not None:
                 self.state = MeshState.restore(ready.snapshot.state)
                 self._applied = ready.snapshot.index
             applied += [self._apply(entry) for entry in ready.committed]
             self._waiting_reads += ready.reads
             self.failed_reads += ready.failed_reads
-            if not (ready.early or ready.late or ready.committed or ready.must_sync()):
+            if not (ready.messages_before_sync or ready.messages_after_sync or ready.committed or ready.must_sync()):
                 break
         self._release_reads()
         self._report_role()
@@ -168,7 +168,7 @@
             _run_in_thread(self._storage.save, hard_state if ready.hard_state_changed else None, ready.entries)
         now = monotonic()
         self._metrics.time(Metric.SYNC, now - started)
-        replica.persisted(last_index, now)
+        replica.mark_persisted(last_index, now)
 
     def _apply(self, entry: messages.LogEntry) -> AppliedEntry | None:
         self._applied = entry.index
--- a/packages/lanedock-daemon/lanedock_daemon/control/server.py
+++ b/packages/lanedock-daemon/lanedock_daemon/control/server.py
@@ -7,7 +7,7 @@
 from lanedock.findings import FindingsError, read_text
 from lanedock.kernel import TaskService
 from lanedock.kernel.loop import LoopService
-from lanedock.rollout import record_finding
+from lanedock.rollout import make_finding_record
 from lanedock.wire import messages
 from lanedock.wire.lanedock_grpc import OperatorsBase, ReplicationBase
 from lanedock_daemon.control.requests import (
@@ -119,5 +119,5 @@
 
 def _make_refusal(exc: FindingsError) -> messages.SubmitReply:
     reply = messages.SubmitReply(answer=messages.ANSWER_NOT_RUN, code=exc.code.code, message=str(exc))
-    reply.findings.extend(record_finding(finding) for finding in exc.findings)
+    reply.findings.extend(make_finding_record(finding) for finding in exc.findings)
     return reply
--- a/packages/lanedock-daemon/lanedock_daemon/control/service.py
+++ b/packages/lanedock-daemon/lanedock_daemon/control/service.py
@@ -18,10 +18,10 @@
 from lanedock_daemon.control.directories import ControlDirectory, ListedDirectory, RegisteredDirectory
 from lanedock_daemon.control.distribution import DaemonSessions, make_version_source
 from lanedock_daemon.control.leader import FleetReporter, RolloutLeader
-from lanedock_daemon.control.log import AppliedEntry, ReplicatedLog, open_storage
-from lanedock_daemon.control.quarantine import answer_operator
+from lanedock_daemon.control.quarantine_queries import answer_operator
 from lanedock_daemon.control.queries import QueryQueue
 from lanedock_daemon.control.reads import ReadQueue
+from lanedock_daemon.control.replicated_log import AppliedEntry, ReplicatedLog, open_storage
 from lanedock_daemon.control.requests import (
     CanaryRequested,
     HistoryRequested,
@@ -106,8 +106,8 @@
         initial = self._initial or cfg.bootstrap
         replica_id = open_storage(self._storage, self._name, first, initial and self._name in first, self._events)
         restored = self._storage.restore()
-        if restored.cut_bytes:
-            self._events.emit(Event.TAIL_CUT, bytes=restored.cut_bytes)
+        if restored.truncated_bytes:
+            self._events.emit(Event.TAIL_CUT, bytes=restored.truncated_bytes)
         others = {name: self.address_of(name) for name in first if name != self._name}
         hard_state = restored.hard_state
         replica = RaftReplica(
@@ -207,7 +207,7 @@
             self._log.replica.step(message, now)
 
     def _on_fleet_report(self, message, now: float) -> None:
-        if not self._leader.take_report(message, now):
+        if not self._leader.process_report(message, now):
             request = self._peer_message(message.sender)
             request.fleet_request.SetInParent()
             self._links.send([request])
@@ -221,7 +221,7 @@
 
     def _measure_freshness(self, now: float) -> tuple[int, float]:
         """Return the number of the newest accepted version known here, and the seconds since a leader was heard."""
-        return self._log.state.accepted_version.number, self._log.replica.silence(now)
+        return self._log.state.accepted_version.number, self._log.replica.leader_silence(now)
 
     def _on_child_arrived(self, item: ChildArrived) -> None:
         freshness = self._measure_freshness(monotonic())
@@ -240,8 +240,8 @@
 
     def _on_list(self, item: ListRead) -> None:
         now = monotonic()
-        self._directory.take_list(item.instances, now)
-        self._leader.take_list(item.instances, now)
+        self._directory.apply_instance_list(item.instances, now)
+        self._leader.apply_instance_list(item.instances, now)
 
     def refuse_unless_leading(self, request: messages.SubmitRequest) -> messages.SubmitReply | None:
         """Return a refusal that names the leader, or None where this replica leads."""
@@ -266,9 +266,9 @@
         if refusal is not None:
             item.call.finish(refusal)
             return
-        result = self._log.state.judge(version)
+        result = self._log.state.evaluate_submission(version)
         if result.verdict is Verdict.KNOWN:
-            self._submissions.wait_for_outcome(submission)
+            self._submissions.add_waiting(submission)
             return
         # The log decides on every other verdict: a refusal, too, must come
         # from a leader that a quorum still follows.
@@ -279,7 +279,7 @@
             # The lease ended after the check above.
             item.call.finish(submission.reply(messages.ANSWER_NOT_KNOWN, ErrorCode.OUTCOME_NOT_KNOWN))
             return
-        self._submissions.wait_for_entry(submission, index)
+        self._submissions.add_proposed(submission, index)
 
     # ----------------------------------------------------------------- advance
 
@@ -337,7 +337,7 @@
             return
         self._sent_versions = versions
         source = make_version_source(state)
-        self._sessions.set_source(source)
+        self._sessions.set_versions(source)
         if source.accepted is not None:
             window = source.accepted.group("").get("endpoint_window_ms")
             if window is not None:
--- a/packages/lanedock-daemon/lanedock_daemon/control/submissions.py
+++ b/packages/lanedock-daemon/lanedock_daemon/control/submissions.py
@@ -9,7 +9,7 @@
 from lanedock.rollout import RolloutProgress, SubmitResult, Verdict, fill_content
 from lanedock.telemetry import Event, EventLogger, Metric, Metrics
 from lanedock.wire import messages
-from lanedock_daemon.control.log import AppliedEntry
+from lanedock_daemon.control.replicated_log import AppliedEntry
 from lanedock_daemon.control.requests import Call, SubmitRequested
 
 __all__ = ["Submission", "SubmissionQueue", "log_applied_entry", "make_submit_command"]
@@ -67,7 +67,7 @@
     ----------
     base : int or None
         Number of the version that the submission is based on; None if the request states none.
-    allowed_zones : set of str
+    exempt_zones : set of str
         Availability zones that the request allows to be cut off.
     index : int
         Index at which the submission's log entry was proposed; 0 if none was.
@@ -81,10 +81,10 @@
 
     __slots__ = (
         "accepted_at",
-        "allowed_zones",
         "base",
         "call",
         "deadline",
+        "exempt_zones",
         "index",
         "reported_at",
         "settle_time",
@@ -98,7 +98,7 @@
         self.base = request.base_version if request.has_base else None
         self.started_at = now
         self.deadline = now + (request.timeout_ms / 1000 if request.timeout_ms else DEFAULT_TIMEOUT)
-        self.allowed_zones = set(request.allow_cut_off)
+        self.exempt_zones = set(request.allow_cut_off)
         self.index = 0
         self.settle_time = settle_time
         self.reported_at = 0.0
@@ -134,12 +134,12 @@
     def __repr__(self) -> str:
         return f"<SubmissionQueue proposed={len(self._proposed)} waiting={len(self._waiting)}>"
 
-    def wait_for_entry(self, submission: Submission, index: int) -> None:
+    def add_proposed(self, submission: Submission, index: int) -> None:
         """Add a submission that waits until its entry, proposed at an index, is applied."""
         submission.index = index
         self._proposed[index] = submission
 
-    def wait_for_outcome(self, submission: Submission) -> None:
+    def add_waiting(self, submission: Submission) -> None:
         """Add a submission of a version that was submitted before; it waits for the outcome."""
         self._waiting.append(submission)
 
@@ -210,7 +210,7 @@
             return submission.reply(messages.ANSWER_NOT_KNOWN, ErrorCode.OUTCOME_NOT_KNOWN)
         if record.outcome == messages.OUTCOME_ABORTED:
             return _make_abort_reply(submission, record)
-        allowed = submission.allowed_zones | set(record.allow_cut_off)
+        allowed = submission.exempt_zones | set(record.allow_cut_off)
         progress, cut_off = find_progress(submission.version.number, allowed)
         is_accepted = record.outcome == messages.OUTCOME_ACCEPTED
         if is_accepted and submission.accepted_at is None:
--- a/packages/lanedock-daemon/lanedock_daemon/control/tests/test_distribution.py
+++ b/packages/lanedock-daemon/lanedock_daemon/control/tests/test_distribution.py
@@ -41,7 +41,7 @@
     state = messages.DaemonState(daemon=name, zone=zone, relay_host="h", relay_port=1)
     message = messages.DaemonMessage(state=state, floor_token=floor_token, failed_relays=failed)
     session = FakeSession()
-    sessions.arrive(session, message, messages.EndpointUpdate(whole=True))
+    sessions.admit_or_refuse(session, message, messages.EndpointUpdate(whole=True))
     return session
 
 
@@ -120,7 +120,7 @@
     """Guards against a leader that waits for a daemon whose stream accepts messages but answers none."""
     sessions = _make_sessions()
     silent, other = _arrive(sessions, "silent"), _arrive(sessions, "other")
-    sessions.take_report(whole=True)
+    sessions.make_report(whole=True)
     arrived = monotonic()
     sessions.send_heartbeats(arrived + SILENCE_LIMIT - HEARTBEAT_INTERVAL, 1, 0.0)
     assert not (silent.is_closed or sessions.is_report_due())
@@ -128,7 +128,7 @@
     sessions.send_heartbeats(arrived + SILENCE_LIMIT + HEARTBEAT_INTERVAL, 1, 0.0)
     assert silent.is_closed and not other.is_closed
     assert sessions.is_report_due()
-    assert list(sessions.take_report(whole=False).gone) == ["silent"]
+    assert list(sessions.make_report(whole=False).gone) == ["silent"]
 
 
 def test_reconnected_daemon_is_not_reported_gone_when_old_stream_is_silent():
@@ -139,5 +139,5 @@
     reconnected.heard_at = arrived + SILENCE_LIMIT
     sessions.send_heartbeats(arrived + SILENCE_LIMIT + HEARTBEAT_INTERVAL, 1, 0.0)
     assert silent.is_closed and not reconnected.is_closed
-    report = sessions.take_report(whole=False)
+    report = sessions.make_report(whole=False)
     assert [state.daemon for state in report.changed] == ["d"] and not report.gone
--- a/packages/lanedock-daemon/lanedock_daemon/control/tests/test_submissions.py
+++ b/packages/lanedock-daemon/lanedock_daemon/control/tests/test_submissions.py
@@ -34,7 +34,7 @@
     call = GreenletCall()
     request = messages.SubmitRequest(version=7, has_base=True, base_version=1)
     queue = SubmissionQueue(NullMetrics())
-    queue.wait_for_entry(Submission(call, request, Version(7, b"own"), 0.0), INDEX)
+    queue.add_proposed(Submission(call, request, Version(7, b"own"), 0.0), INDEX)
     queue.handle_applied(INDEX, result)
     return call.next_reply(1).answer if queue.is_empty() else None
 
--- a/packages/lanedock-daemon/lanedock_daemon/control/tests/test_traffic.py
+++ b/packages/lanedock-daemon/lanedock_daemon/control/tests/test_traffic.py
@@ -1,7 +1,7 @@
 # SPDX-License-Identifier: BSD-3-Clause
 """Tests that a control instance counts the bytes it sends."""
 
-from lanedock.rollout import Child
+from lanedock.rollout import Subscriber
 from lanedock.telemetry import Event, TextMetrics
 from lanedock.wire import messages
 from lanedock_daemon.control.traffic import TOTALS_INTERVAL, ControlTraffic, MeteredLinks
@@ -34,7 +34,7 @@
 class _Session(Session):
     def __init__(self, zone):
         super().__init__()
-        self.child = Child(messages.DaemonState(daemon="d", zone=zone))
+        self.child = Subscriber(messages.DaemonState(daemon="d", zone=zone))
 
     def send(self, batch):
         """Nothing to do."""
--- a/packages/lanedock-daemon/lanedock_daemon/grpc_transport.py
+++ b/packages/lanedock-daemon/lanedock_daemon/grpc_transport.py
@@ -5,8 +5,8 @@
 from lanedock.kernel.loop import LoopService
 from lanedock.settings import Address
 from lanedock.settings.tls import make_client_context, make_server_context
-from lanedock_daemon.agent.watch import GrpcSource
-from lanedock_daemon.control.peers import GrpcLinks
+from lanedock_daemon.agent.grpc_source import GrpcSource
+from lanedock_daemon.control.grpc_links import GrpcLinks
 from lanedock_daemon.grpc_sessions import DistributionServer
 from lanedock_daemon.network import start_server
 from lanedock_daemon.transport import Listener, PeerLinks, SourceStream, Transport
--- a/packages/lanedock-daemon/lanedock_daemon/interface.py
+++ b/packages/lanedock-daemon/lanedock_daemon/interface.py
@@ -53,9 +53,9 @@
         return OwnDialect()
 
     def make_registration_handler(self, registrar):
-        from lanedock_daemon.agent.registration import RegistrationSide
+        from lanedock_daemon.agent.registration import RegistrationHandler
 
-        return RegistrationSide(registrar)
+        return RegistrationHandler(registrar)
 
     def make_operators_handler(self, control, settings: Settings):
         raise LanedockError(
--- a/packages/lanedock-daemon/lanedock_daemon/path/answers.py
+++ b/packages/lanedock-daemon/lanedock_daemon/path/answers.py
@@ -95,7 +95,7 @@
         reader, self._reader = self._reader, None
         if reader is None:
             return
-        if self.message.keep_alive and not (reader.has_rest() or reader.is_body_unsent):
+        if self.message.keep_alive and not (reader.has_unread_data() or reader.is_body_unsent):
             self._pool.put(self._address, reader)
         else:
             reader.conn.close()
@@ -177,10 +177,10 @@
             return
         self._reader.conn.close()
         if isinstance(exc, (StopTimeout, OSError, MalformedMessage)):
-            raise make_failure(self._address, exc, self._reader.is_passed_on) from exc
+            raise make_failure(self._address, exc, self._reader.may_be_passed_on) from exc
 
 
-def make_failure(address: tuple[str, int], exc: BaseException, is_passed_on: bool) -> ExchangeError:
+def make_failure(address: tuple[str, int], exc: BaseException, may_be_passed_on: bool) -> ExchangeError:
     """Make the error for an exchange that has failed, or that the stop of this process cuts short.
 
     Parameters
@@ -188,7 +188,7 @@
     address : tuple of (str, int)
     exc : BaseException
         Cause of the failure.
-    is_passed_on : bool
+    may_be_passed_on : bool
         Whether the request has been passed on, so that the application may have run it.
     """
     is_stop = isinstance(exc, StopTimeout)
@@ -196,7 +196,7 @@
     is_unreachable = isinstance(exc, OSError) and exc.errno in (ETIMEDOUT, EHOSTUNREACH, ENETUNREACH)
     is_late = isinstance(exc, TimeoutError) and not is_unreachable
     is_body_late = isinstance(exc, (BodyTimeout, BodyBroken))
-    if not is_passed_on:
+    if not may_be_passed_on:
         # A daemon that has to request the body passes nothing on before it has some of the body.
         code, reason = ErrorCode.CONNECT_FAILED, f"{exc!r} before the request was passed on"
         if is_stop:
--- a/packages/lanedock-daemon/lanedock_daemon/path/tries.py
+++ b/packages/lanedock-daemon/lanedock_daemon/path/attempts.py
@@ -11,9 +11,8 @@
 from lanedock.telemetry import Event, EventLogger, Metric, Metrics
 from lanedock_daemon.path.answers import AnswerPieces, UpstreamAnswer
 from lanedock_daemon.path.dialect import Dialect
-from lanedock_daemon.path.exchange import Consent, PendingAnswer, note_late, send_request
+from lanedock_daemon.path.exchange import ContinueWait, PendingAnswer, handle_late_answer, send_request
 from lanedock_daemon.path.headers import (
-    ARRIVED_HEADER,
     ATTEMPT_HEADER,
     CODE_HEADER,
     DEADLINE_HEADER,
@@ -22,27 +21,28 @@
     LEAVING_HEADER,
     LOAD_HEADER,
     OUTCOME_HEADER,
-    RETURN_HEADER,
+    REACHED_APPLICATION_HEADER,
+    RETRY_AFTER_MS_HEADER,
+    SEND_DELAY_HEADER,
     START_BY_HEADER,
     TARGET_HEADER,
-    TURN_HEADER,
     UPSTREAM_HEADER,
+    parse_int,
     public_headers,
-    read_int,
 )
-from lanedock_daemon.path.hedges import choose_result, close_unless_chosen
-from lanedock_daemon.path.http import RETRY_AFTER, Answer, Leaving, Outcome, Request
-from lanedock_daemon.path.job import AttemptResult, Job
+from lanedock_daemon.path.hedging import choose_result, close_unless_chosen
+from lanedock_daemon.path.http import DEFAULT_RETRY_AFTER, Answer, Leaving, Outcome, Request
 from lanedock_daemon.path.parser import MalformedMessage, Message
 from lanedock_daemon.path.pool import ConnectionPool, ExchangeError
 from lanedock_daemon.path.prober import UpstreamProber
+from lanedock_daemon.path.request_context import AttemptResult, RequestContext
 from lanedock_daemon.path.suspicions import read_suspicions
 
 __all__ = ["AttemptSender"]
 
 # Answers up to this many bytes are read completely before they are passed on, so that the
 # request can still be retried at another upstream if the answer breaks off.
-BUFFER_LIMIT = 64 * 1024
+ANSWER_BUFFER_LIMIT = 64 * 1024
 # Seconds by which this side waits longer than the deadline given to the upstream's daemon, so
 # that the daemon's refusal arrives before this side gives up.
 REFUSAL_GRACE = 0.05
@@ -84,31 +84,33 @@
         self._metrics = metrics
         self._prober = UpstreamProber(pool, events)
 
-    def send_hedged(self, job: Job, stats: UpstreamStats, attempt: int) -> AttemptResult:
+    def send_hedged(self, context: RequestContext, stats: UpstreamStats, attempt: int) -> AttemptResult:
         """Send a request, and send it to a second upstream if the answer is later than nearly all others.
 
         The first final result counts; the other attempt is cancelled.
         """
         started = monotonic()
-        pending = self._begin_attempt(job, stats, attempt, started)
+        pending = self._begin_attempt(context, stats, attempt, started)
         if isinstance(pending, AttemptResult):
             return pending
-        hedge_delay = started + job.balancer.hedge_delay(job.route.name) - monotonic()
-        if self._wait_for_answer(job, stats, pending, hedge_delay) or monotonic() >= job.deadline:
-            return self._finish_attempt(job, stats, pending, started)
-        pending.note_late(started, self._events, stats.endpoint.instance)
+        hedge_delay = started + context.balancer.hedge_delay(context.route.name) - monotonic()
+        if self._wait_for_answer(context, stats, pending, hedge_delay) or monotonic() >= context.deadline:
+            return self._finish_attempt(context, stats, pending, started)
+        pending.handle_late_answer(started, self._events, stats.endpoint.instance)
         first = second = result = None
         try:
-            first = gevent.spawn(self._finish_attempt, job, stats, pending, started)
+            first = gevent.spawn(self._finish_attempt, context, stats, pending, started)
             now = monotonic()
-            other = job.choose(now, may_wait=False) if job.budget.left(now) >= 1 else None
+            other = context.choose(now, may_wait=False) if context.budget.available(now) >= 1 else None
             if other is None:
                 result = first.get()
                 return result
-            job.budget.spend(now)
-            job.log.note(Event.REQUEST_SENT_AGAIN, sent=True, reason="late", budget=round(job.budget.left(now), 1))
+            context.budget.spend(now)
+            context.log.note(
+                Event.REQUEST_SENT_AGAIN, sent=True, reason="late", budget=round(context.budget.available(now), 1)
+            )
             self._metrics.count(Metric.RETRIES)
-            second = gevent.spawn(self.send, job, other, attempt + 1)
+            second = gevent.spawn(self.send, context, other, attempt + 1)
             result = choose_result(first, second)
             return result
         finally:
@@ -120,106 +122,108 @@
             if not pending.is_being_read:
                 # The task that should read the answer has never run.
                 pending.close()
-                job.balancer.end(stats, False, monotonic())
+                context.balancer.end(stats, False, monotonic())
 
-    def _wait_for_answer(self, job: Job, stats, pending: PendingAnswer, timeout: float) -> bool:
+    def _wait_for_answer(self, context: RequestContext, stats, pending: PendingAnswer, timeout: float) -> bool:
         """Wait for the first bytes of an answer, and return whether they came within `timeout` seconds."""
         try:
             return pending.wait(timeout)
         except BaseException:
-            job.balancer.end(stats, False, monotonic())
+            context.balancer.end(stats, False, monotonic())
             raise
 
-    def send(self, job: Job, stats: UpstreamStats, attempt: int) -> AttemptResult:
+    def send(self, context: RequestContext, stats: UpstreamStats, attempt: int) -> AttemptResult:
         """Send a request to one upstream, and return the result."""
         started = monotonic()
-        pending = self._begin_attempt(job, stats, attempt, started)
+        pending = self._begin_attempt(context, stats, attempt, started)
         if isinstance(pending, AttemptResult):
             return pending
-        timeout = started + job.balancer.hedge_delay(job.route.name) - monotonic()
-        if not self._wait_for_answer(job, stats, pending, min(timeout, job.deadline - monotonic())):
-            pending.note_late(started, self._events, stats.endpoint.instance)
-        return self._finish_attempt(job, stats, pending, started)
+        timeout = started + context.balancer.hedge_delay(context.route.name) - monotonic()
+        if not self._wait_for_answer(context, stats, pending, min(timeout, context.deadline - monotonic())):
+            pending.handle_late_answer(started, self._events, stats.endpoint.instance)
+        return self._finish_attempt(context, stats, pending, started)
 
     def _begin_attempt(
-        self, job: Job, stats: UpstreamStats, attempt: int, started: float
+        self, context: RequestContext, stats: UpstreamStats, attempt: int, started: float
     ) -> PendingAnswer | AttemptResult:
         """Send a request to one upstream; return an `AttemptResult` instead if that fails."""
-        request, balancer = job.request, job.balancer
-        left = job.deadline - started
+        request, balancer = context.request, context.balancer
+        left = context.deadline - started
         sent = [
-            *job.headers,
+            *context.headers,
             (ATTEMPT_HEADER, str(attempt)),
             (DEADLINE_HEADER, str(max(1, int(left * 1000)))),
         ]
-        if job.target_time < job.deadline:
-            sent.append((TARGET_HEADER, str(max(0, int((job.target_time - started) * 1000)))))
-        if job.start_by is not None:
-            sent.append((START_BY_HEADER, str(max(0, int((job.start_by - started) * 1000)))))
+        if context.target_time < context.deadline:
+            sent.append((TARGET_HEADER, str(max(0, int((context.target_time - started) * 1000)))))
+        if context.start_by is not None:
+            sent.append((START_BY_HEADER, str(max(0, int((context.start_by - started) * 1000)))))
         if stats.endpoint.upstream:
             sent.append((UPSTREAM_HEADER, stats.endpoint.upstream))
             if stats.endpoint.HasField("rate_limit"):
                 sent.append((KNOWN_LIMIT_HEADER, f"{stats.endpoint.rate_limit:g}"))
-        job.log.note(
+        context.log.note(
             Event.REQUEST_SENT,
             upstream=stats.endpoint.instance,
             incarnation=stats.endpoint.upstream,
             zone=stats.endpoint.zone,
             own_in_progress=stats.in_progress,
-            others=stats.others,
+            others=stats.other_requests,
             others_age_ms=round(1000 * (started - stats.reported_at)) if stats.reported_at is not None else None,
             slowness=round(stats.slowness, 2),
             software=stats.endpoint.version,
             pool=stats.pool.value,
         )
-        consent = None
-        if request.body.is_asked_for:
-            late_after = min(balancer.hedge_delay(job.route.name), left)
-            consent = Consent(
+        continue_wait = None
+        if request.body.needs_continue:
+            late_after = min(balancer.hedge_delay(context.route.name), left)
+            continue_wait = ContinueWait(
                 late_after,
-                lambda: note_late(self._pool, stats.address, started, self._events, stats.endpoint.instance),
+                lambda: handle_late_answer(self._pool, stats.address, started, self._events, stats.endpoint.instance),
             )
         balancer.begin(stats, started)
         try:
-            return send_request(self._pool, stats.address, request, sent, job.deadline + REFUSAL_GRACE, consent)
+            return send_request(
+                self._pool, stats.address, request, sent, context.deadline + REFUSAL_GRACE, continue_wait
+            )
         except ExchangeError as exc:
-            return self._on_failed(job, stats, exc)
+            return self._on_failed(context, stats, exc)
         except BaseException:
             balancer.end(stats, False, monotonic())
             raise
 
-    def _on_failed(self, job: Job, stats, exc: ExchangeError) -> AttemptResult:
+    def _on_failed(self, context: RequestContext, stats, exc: ExchangeError) -> AttemptResult:
         """Record an attempt that got no answer, and return its result."""
-        self._note_end(job.balancer, stats, failed=not exc.is_body_late, unreachable=exc.is_unreachable)
-        self._note_try(job, stats, exc.outcome, exc.code)
-        return self._on_lost(exc, stats, job.route, job.request)
+        self._note_end(context.balancer, stats, failed=not exc.is_body_late, unreachable=exc.is_unreachable)
+        self._note_try(context, stats, exc.outcome, exc.code)
+        return self._on_lost(exc, stats, context.route, context.request)
 
-    def _finish_attempt(self, job: Job, stats, pending: PendingAnswer, started: float) -> AttemptResult:
+    def _finish_attempt(self, context: RequestContext, stats, pending: PendingAnswer, started: float) -> AttemptResult:
         """Wait for the answer to an attempt, and return the result."""
-        route, balancer = job.route, job.balancer
+        route, balancer = context.route, context.balancer
         try:
             response = pending.read()
         except ExchangeError as exc:
-            return self._on_failed(job, stats, exc)
+            return self._on_failed(context, stats, exc)
         except BaseException:
             balancer.end(stats, False, monotonic())
             raise
         head = response.message
-        load = read_int(head.header(LOAD_HEADER))
-        balancer.note_turn(stats, (read_int(head.header(TURN_HEADER)) or 0) / 1000, monotonic())
+        load = parse_int(head.header(LOAD_HEADER))
+        balancer.add_send_time(stats, (parse_int(head.header(SEND_DELAY_HEADER)) or 0) / 1000, monotonic())
         leaving = head.header(LEAVING_HEADER)
         if leaving:
             balancer.note_leaving(stats, leaving == Leaving.APPLICATION)
-            self._pool.forget(stats.address)
+            self._pool.close_idle(stats.address)
         outcome = head.header(OUTCOME_HEADER)
         if outcome == Outcome.NOT_RUN:
-            self._note_try(job, stats, Outcome.NOT_RUN, ErrorCode.find(head.header(CODE_HEADER)))
+            self._note_try(context, stats, Outcome.NOT_RUN, ErrorCode.find(head.header(CODE_HEADER)))
             return self._on_refused(response, balancer, stats, load)
         is_lost = outcome == Outcome.UNKNOWN
         if (is_lost or head.status == 503) and route.repeatable:
             # Recorded before the body is read, because the caller may disconnect during the read.
             self._note_end(balancer, stats, failed=True, load=load)
-            self._note_try(job, stats, Outcome.UNKNOWN, ErrorCode.find(head.header(CODE_HEADER)), head.status)
+            self._note_try(context, stats, Outcome.UNKNOWN, ErrorCode.find(head.header(CODE_HEADER)), head.status)
             body = self._read_refusal(response)
             answer = Answer(head.status, head.reason, _strip_daemon_headers(head), [body or b""])
             if is_lost or body is None:
@@ -227,7 +231,7 @@
                     ErrorCode.find(head.header(CODE_HEADER)) or ErrorCode.ANSWER_LOST, ""
                 )
             return AttemptResult(answer, self._note_crashes(head) >= CRASHES_ENDING_RETRIES, may_have_run=True)
-        return self._pass_answer(response, job, stats, load, is_lost, started)
+        return self._pass_answer(response, context, stats, load, is_lost, started)
 
     def _note_crashes(self, head: Message) -> int:
         """Record the crashes that an answer reports, and return how many are known for its request."""
@@ -237,9 +241,9 @@
         self._quarantine.merge(suspicions, monotonic())
         return self._quarantine.count(Fingerprint(suspicions[0].head, suspicions[0].whole))
 
-    def _note_try(self, job: Job, stats, outcome: str, code: ErrorCode | None, status: int = 0) -> None:
+    def _note_try(self, context: RequestContext, stats, outcome: str, code: ErrorCode | None, status: int = 0) -> None:
         """Log and count an attempt whose answer is not passed on."""
-        job.log.note(
+        context.log.note(
             Event.REQUEST_TRY_ENDED,
             upstream=stats.endpoint.instance,
             incarnation=stats.endpoint.upstream,
@@ -254,7 +258,7 @@
 
     def _on_lost(self, exc: ExchangeError, stats, route: Route, request: Request) -> AttemptResult:
         if exc.outcome == Outcome.NOT_RUN:
-            wait = 0.0 if exc.code is ErrorCode.DEADLINE else RETRY_AFTER
+            wait = 0.0 if exc.code is ErrorCode.DEADLINE else DEFAULT_RETRY_AFTER
             answer = self._dialect.make_refusal(exc.code, Outcome.NOT_RUN, wait, str(exc))
             return AttemptResult(answer, False, has_arrived=False)
         self._metrics.count(Metric.UNKNOWN)
@@ -280,11 +284,11 @@
             balancer.note_leaving(stats)
         self._metrics.count(Metric.NOT_RUN)
         self._read_refusal(response)
-        wait_ms = read_int(head.header(RETURN_HEADER))
-        wait = wait_ms / 1000 if wait_ms is not None else RETRY_AFTER
+        wait_ms = parse_int(head.header(RETRY_AFTER_MS_HEADER))
+        wait = wait_ms / 1000 if wait_ms is not None else DEFAULT_RETRY_AFTER
         answer = self._dialect.make_refusal(code, Outcome.NOT_RUN, 0.0 if code is ErrorCode.DEADLINE else wait)
         is_final = code in (ErrorCode.DEADLINE, ErrorCode.QUARANTINED)
-        return AttemptResult(answer, is_final, bool(head.header(ARRIVED_HEADER)), code=code)
+        return AttemptResult(answer, is_final, bool(head.header(REACHED_APPLICATION_HEADER)), code=code)
 
     def _note_end(
         self,
@@ -307,7 +311,7 @@
                 unreachable=unreachable,
             )
             if unreachable:
-                self._pool.forget(stats.address)
+                self._pool.close_idle(stats.address)
                 gevent.spawn(self._prober.run, balancer, stats)
 
     def _read_refusal(self, response: UpstreamAnswer) -> bytes | None:
@@ -322,21 +326,23 @@
         finally:
             response.close()
 
-    def _pass_answer(self, response, job: Job, stats, load, is_lost: bool, started: float) -> AttemptResult:
+    def _pass_answer(
+        self, response, context: RequestContext, stats, load, is_lost: bool, started: float
+    ) -> AttemptResult:
         """Pass an answer on: a short one when it is complete, a long one as it comes.
 
-        If an answer is not complete by the deadline and at most `BUFFER_LIMIT` bytes of it have
+        If an answer is not complete by the deadline and at most `ANSWER_BUFFER_LIMIT` bytes of it have
         come, the outcome is unknown. Passing it on from then would hold the caller past the
         time that the route allows.
         """
         head = response.message
-        route, balancer = job.route, job.balancer
+        route, balancer = context.route, context.balancer
         taken = monotonic() - started
         if is_lost:
             code = ErrorCode.find(head.header(CODE_HEADER)) or ErrorCode.ANSWER_LOST
             self._note_crashes(head)
             self._note_end(balancer, stats, failed=True, load=load)
-            self._note_try(job, stats, Outcome.UNKNOWN, code)
+            self._note_try(context, stats, Outcome.UNKNOWN, code)
             self._read_refusal(response)
             return AttemptResult(self._make_unknown_outcome(code, ""), True, may_have_run=True)
         failed = head.status >= 500
@@ -345,16 +351,16 @@
         body_taken = 0.0
         if not head.is_complete:
             try:
-                pieces = response.read_prefix(BUFFER_LIMIT)
+                pieces = response.read_prefix(ANSWER_BUFFER_LIMIT)
             except (OSError, MalformedMessage) as exc:
                 response.close()
                 # A late body is not the upstream's fault: its head came in time, and the link may be slow.
-                is_late = monotonic() >= job.deadline
+                is_late = monotonic() >= context.deadline
                 code = ErrorCode.ANSWER_TIMEOUT if is_late else ErrorCode.ANSWER_LOST
                 self._note_end(
                     balancer, stats, failed or not is_late, load, taken if is_late else None, kind=route.name
                 )
-                self._note_try(job, stats, Outcome.UNKNOWN, code)
+                self._note_try(context, stats, Outcome.UNKNOWN, code)
                 return AttemptResult(self._make_unknown_outcome(code, str(exc)), not route.repeatable, True, True)
             except BaseException:
                 response.close()
@@ -386,7 +392,7 @@
                 body_taken=known_body_time,
             )
 
-        rest = AnswerPieces(response, end, pieces, job.deadline - started)
+        rest = AnswerPieces(response, end, pieces, context.deadline - started)
         return AttemptResult(Answer(head.status, head.reason, _strip_daemon_headers(head), rest), True)
 
 
--- a/packages/lanedock-daemon/lanedock_daemon/path/body_gate.py
+++ b/packages/lanedock-daemon/lanedock_daemon/path/body_gate.py
@@ -5,10 +5,10 @@
 
 from lanedock.clock import monotonic
 from lanedock.errors import ErrorCode
-from lanedock.limits import QUEUE_TIME, AdmissionRequest, BodyAdmission, BodyTransfer, Refused, SlotLimiter
+from lanedock.limits import MAX_LINK_QUEUE_TIME, AdmissionRequest, BodyAdmission, BodyTransfer, Refused, SlotLimiter
 from lanedock.telemetry import Metric, Metrics
-from lanedock_daemon.path.held_body import HeldBody
-from lanedock_daemon.path.http import RETRY_AFTER, Body, Request
+from lanedock_daemon.path.buffered_body import BufferedBody
+from lanedock_daemon.path.http import DEFAULT_RETRY_AFTER, Body, Request
 from lanedock_daemon.path.service import StopTimeout
 
 __all__ = ["BodyGate"]
@@ -17,7 +17,7 @@
 FIRST_PIECE_SIZE = 64 * 1024
 
 
-class _CountedBody(HeldBody):
+class _CountedBody(BufferedBody):
     """A body whose bytes are counted as they are read.
 
     The first read requests the body from its sender.
@@ -88,34 +88,34 @@
             afterwards, or the process stops.
         """
         body = request.body
-        if not body.is_asked_for:
+        if not body.needs_continue:
             return None
         now = monotonic()
         # A request that would get no slot in time doesn't wait for the link.
-        refused = self._limiter.judge(traffic_class, admission, now)
+        refused = self._limiter.check_admission(traffic_class, admission, now)
         if refused is not None:
             return refused
         admitted = Signal()
-        expires_at = self._limiter.latest_start(admission, now)
+        expires_at = self._limiter.wait_expiry(admission, now)
         transfer = self._bodies.acquire(traffic_class, admission, body.length, expires_at, now, admitted.set)
         if isinstance(transfer, Refused):
             return Refused(
-                transfer.code, self._limiter.return_after(admission, now, transfer.retry_after), transfer.limit
+                transfer.code, self._limiter.retry_delay(admission, now, transfer.retry_after), transfer.limit
             )
         request.body = _CountedBody(body, self._bodies, transfer)
         try:
             while not (transfer.is_admitted or transfer.is_evicted) and now < expires_at:
-                admitted.wait(min(QUEUE_TIME, expires_at - now))
+                admitted.wait(min(MAX_LINK_QUEUE_TIME, expires_at - now))
                 now = monotonic()
                 self._bodies.update(now)
         except StopTimeout:
             self._bodies.end(transfer, now)
-            return Refused(ErrorCode.DRAINING, RETRY_AFTER, "link")
+            return Refused(ErrorCode.DRAINING, DEFAULT_RETRY_AFTER, "link")
         self._metrics.gauge(Metric.BODY_BYTES, self._bodies.outstanding)
         if transfer.is_admitted:
             return None
         self._bodies.end(transfer, now)
-        return Refused(ErrorCode.OVERLOADED, self._limiter.return_after(admission, now), "link")
+        return Refused(ErrorCode.OVERLOADED, self._limiter.retry_delay(admission, now), "link")
 
     def begin(self, request: Request) -> bool:
         """Record that a request got its slot and that its body is requested now.
@@ -149,7 +149,7 @@
             If the sender disconnects.
         """
         if isinstance(request.body, _CountedBody):
-            request.body.hold_piece(FIRST_PIECE_SIZE, deadline)
+            request.body.buffer_piece(FIRST_PIECE_SIZE, deadline)
 
     def leave(self, request: Request) -> None:
         """Record that a request has ended and the rest of its body won't come."""
--- a/packages/lanedock-daemon/lanedock_daemon/path/held_body.py
+++ b/packages/lanedock-daemon/lanedock_daemon/path/buffered_body.py
@@ -6,10 +6,10 @@
 
 from lanedock_daemon.path.http import NEVER, Body
 
-__all__ = ["HeldBody"]
+__all__ = ["BufferedBody"]
 
 
-class HeldBody(Body):
+class BufferedBody(Body):
     """A body whose pieces can be buffered until they are read.
 
     Parameters
@@ -22,7 +22,7 @@
         self.length = body.length
         self._held: deque[bytes] = deque()
 
-    def hold_piece(self, size: int, deadline: float) -> None:
+    def buffer_piece(self, size: int, deadline: float) -> None:
         """Wait for the next piece, of at most `size` bytes, and buffer it. Raises as `read`."""
         self._held.append(self._read_next(size, deadline))
 
--- a/packages/lanedock-daemon/lanedock_daemon/path/caller.py
+++ b/packages/lanedock-daemon/lanedock_daemon/path/caller.py
@@ -13,25 +13,25 @@
 from lanedock.routing import choose_service
 from lanedock.telemetry import Event, EventLogger, Metric, Metrics, RequestLog, RequestLogger, Span, Tracer
 from lanedock_daemon.agent.view import Binding, LocalView
+from lanedock_daemon.path.attempts import AttemptSender
 from lanedock_daemon.path.dialect import Dialect, OwnDialect, RequestFacts
 from lanedock_daemon.path.headers import (
     CALLER_HEADER,
     CLASS_HEADER,
     CODE_HEADER,
     OUTCOME_HEADER,
-    PARENT_HEADER,
+    PARENT_CLASS_HEADER,
     ROUTE_HEADER,
     SERVICE_HEADER,
     TRACE_HEADER,
     VERSION_HEADER,
+    encode_name,
     public_headers,
-    write_name,
 )
-from lanedock_daemon.path.http import RETRY_AFTER, Answer, Outcome, ReplayBody, Request, describe_end
-from lanedock_daemon.path.job import AttemptResult, Job
+from lanedock_daemon.path.http import DEFAULT_RETRY_AFTER, Answer, Outcome, ReplayBody, Request, outcome_label
 from lanedock_daemon.path.pool import ConnectionPool
+from lanedock_daemon.path.request_context import AttemptResult, RequestContext
 from lanedock_daemon.path.service import StopTimeout
-from lanedock_daemon.path.tries import AttemptSender
 
 __all__ = ["CallerSide"]
 
@@ -188,8 +188,10 @@
     def _process(self, request: Request, facts: RequestFacts, span: Span, started: float, log: RequestLog) -> Answer:
         binding = self._view.bind()
         if binding is None:
-            log.note(Event.REQUEST_ROUTED, target=request.path, reason="no confirmed version", **self._view.age())
-            return self._refuse(ErrorCode.NOT_READY, RETRY_AFTER)
+            log.note(
+                Event.REQUEST_ROUTED, target=request.path, reason="no confirmed version", **self._view.unready_details()
+            )
+            return self._refuse(ErrorCode.NOT_READY, DEFAULT_RETRY_AFTER)
         if "/../" in request.path or request.path.endswith("/..") or not request.path.startswith("/"):
             return self._refuse(ErrorCode.BAD_REQUEST)
         route = binding.table.match(request.host, request.path, request.method)
@@ -219,11 +221,11 @@
             log.note(Event.REQUEST_REFUSED, code=ErrorCode.QUARANTINED.code, suspect=suspect)
             return self._refuse(ErrorCode.QUARANTINED, left)
         headers = self._make_headers(request, binding, route, span)
-        job = self._make_job(request, binding, route, headers, started + deadline_ms / 1000, age / 1000, log)
-        job.is_suspect = suspect is not None
+        context = self._make_context(request, binding, route, headers, started + deadline_ms / 1000, age / 1000, log)
+        context.is_suspect = suspect is not None
         max_overloads = MAX_OVERLOADS_RETRIED if age else MAX_OVERLOADS
         # An earlier hop already retries this request; retries here, too, would multiply the load.
-        return self._send(job, _Progress(route, max_overloads), may_retry=not facts.was_retried)
+        return self._send(context, _Progress(route, max_overloads), may_retry=not facts.was_retried)
 
     def _find_suspect(self, request: Request, facts: RequestFacts) -> Fingerprint | None:
         """Return the fingerprint of a request that is suspected of crashes.
@@ -245,13 +247,13 @@
 
         The retry delay lasts until this process no longer takes callers' connections.
         """
-        answer = self._refuse(ErrorCode.DRAINING, max(RETRY_AFTER, self._plan.linger_left(now)))
+        answer = self._refuse(ErrorCode.DRAINING, max(DEFAULT_RETRY_AFTER, self._plan.remaining_linger(now)))
         answer.ends_connection = True
         return answer
 
     # ---------------------------------------------------------------- attempts
 
-    def _make_job(
+    def _make_context(
         self,
         request: Request,
         binding: Binding,
@@ -260,92 +262,94 @@
         deadline: float,
         age: float,
         log: RequestLog,
-    ) -> Job:
+    ) -> RequestContext:
         """Choose a service of the route, and collect the state that all attempts need.
 
         `deadline` is a monotonic time and `age` a duration, both in seconds.
         """
         service = binding.config.services[choose_service(route, self._rng)]
-        headers.append((SERVICE_HEADER, write_name(service.name)))
+        headers.append((SERVICE_HEADER, encode_name(service.name)))
         now = monotonic()
         budget = self._view.budget(service.name)
         budget.note_first_try(now)
         request.body = ReplayBody(request.body, REPLAY_LIMIT)
         target_time = now + route.target_ms / 1000 - age
         balancer = self._view.balancer(service.name)
-        job = Job(request, headers, route, service, balancer, budget, deadline, target_time, log)
+        context = RequestContext(request, headers, route, service, balancer, budget, deadline, target_time, log)
         if self._view.canaries.running(service.name) is not None:
-            job.goes_to_canary = self._view.canaries.take(service.name)
-            job.prefers_canary = self._view.canaries.is_whole(service.name)
-        return job
+            context.goes_to_canary = self._view.canaries.assign_request(service.name)
+            context.prefers_canary = self._view.canaries.has_full_share(service.name)
+        return context
 
-    def _send(self, job: Job, progress: _Progress, may_retry: bool) -> Answer:
+    def _send(self, context: RequestContext, progress: _Progress, may_retry: bool) -> Answer:
         """Return the answer, or an unknown outcome if the process stops first."""
         try:
-            return self._attempt_until_final(job, progress, may_retry)
+            return self._attempt_until_final(context, progress, may_retry)
         except StopTimeout:
             # The request may have been sent; callees catch StopTimeout themselves where it certainly was not.
             return self._dialect.make_refusal(ErrorCode.ANSWER_LOST, Outcome.UNKNOWN)
 
-    def _attempt_until_final(self, job: Job, progress: _Progress, may_retry: bool) -> Answer:
+    def _attempt_until_final(self, context: RequestContext, progress: _Progress, may_retry: bool) -> Answer:
         """Send a request to one upstream after another until one answers or no further attempt is allowed."""
-        route, body = job.route, job.request.body
+        route, body = context.route, context.request.body
         for attempt in count(1):
             now = monotonic()
-            if now >= job.deadline:
+            if now >= context.deadline:
                 return progress.failure or self._refuse(ErrorCode.DEADLINE)
             # The deadline limits the time until the head of the answer; the body may take longer.
-            needed = min(job.balancer.hedge_delay(route.name), job.deadline - now)
-            needed += job.balancer.body_late_after(route.name)
+            needed = min(context.balancer.hedge_delay(route.name), context.deadline - now)
+            needed += context.balancer.body_late_delay(route.name)
             if not self._plan.allows(needed, now):
-                job.log.note(Event.REQUEST_TRY_ENDED, service=job.service.name, reason="the process stops")
+                context.log.note(Event.REQUEST_TRY_ENDED, service=context.service.name, reason="the process stops")
                 return progress.failure or self._refuse_stopping(now)
-            job.start_by = self._plan.start_by(needed)
-            upstream = job.choose(now)
+            context.start_by = self._plan.start_by(needed)
+            upstream = context.choose(now)
             if upstream is None:
-                known = len(job.balancer)
-                job.log.note(Event.REQUEST_TRY_ENDED, service=job.service.name, reason="no upstream left", known=known)
-                return progress.failure or self._refuse(ErrorCode.NO_UPSTREAM, RETRY_AFTER)
-            may_hedge = may_retry and route.repeatable and body.length == 0 and not job.is_suspect
+                known = len(context.balancer)
+                context.log.note(
+                    Event.REQUEST_TRY_ENDED, service=context.service.name, reason="no upstream left", known=known
+                )
+                return progress.failure or self._refuse(ErrorCode.NO_UPSTREAM, DEFAULT_RETRY_AFTER)
+            may_hedge = may_retry and route.repeatable and body.length == 0 and not context.is_suspect
             if may_hedge and progress.arrivals + 1 < route.max_attempts:
-                result = self._attempts.send_hedged(job, upstream, attempt)
+                result = self._attempts.send_hedged(context, upstream, attempt)
             else:
-                result = self._attempts.send(job, upstream, attempt if may_retry else RETRIED_ATTEMPT)
+                result = self._attempts.send(context, upstream, attempt if may_retry else RETRIED_ATTEMPT)
             if result.is_final:
                 return progress.choose_answer(result)
             progress.add(result)
-            job.is_rate_limited = job.is_rate_limited or result.code is ErrorCode.RATE_LIMITED
+            context.is_rate_limited = context.is_rate_limited or result.code is ErrorCode.RATE_LIMITED
             if not may_retry or not body.can_rewind or progress.is_exhausted():
                 return progress.failure
-            if not self._spend_retry(job, bool(result.arrivals)):
+            if not self._spend_retry(context, bool(result.arrivals)):
                 return progress.failure
             body.rewind()
             self._metrics.count(Metric.RETRIES)
 
-    def _spend_retry(self, job: Job, is_charged: bool) -> bool:
+    def _spend_retry(self, context: RequestContext, is_charged: bool) -> bool:
         """Charge another attempt to the retry budget; return whether the budget allows it.
 
         An attempt that reached no application is not charged to the budget.
         """
         now = monotonic()
-        may_spend = not is_charged or job.budget.spend(now)
-        left = job.budget.left(now)
-        job.log.note(Event.REQUEST_SENT_AGAIN, sent=may_spend, charged=is_charged, budget=round(left, 1))
-        self._metrics.gauge(Metric.RETRY_BUDGET, left, (job.service.name,))
+        may_spend = not is_charged or context.budget.spend(now)
+        left = context.budget.available(now)
+        context.log.note(Event.REQUEST_SENT_AGAIN, sent=may_spend, charged=is_charged, budget=round(left, 1))
+        self._metrics.gauge(Metric.RETRY_BUDGET, left, (context.service.name,))
         return may_spend
 
     def _make_headers(self, request: Request, binding: Binding, route: Route, span: Span) -> list[tuple[str, str]]:
         """Make the headers that are sent with every attempt."""
         headers = public_headers(request.headers, self._dialect.request_names)
-        headers.append((CLASS_HEADER, write_name(route.traffic_class)))
-        headers.append((ROUTE_HEADER, write_name(route.name)))
+        headers.append((CLASS_HEADER, encode_name(route.traffic_class)))
+        headers.append((ROUTE_HEADER, encode_name(route.name)))
         headers.append((VERSION_HEADER, str(binding.number)))
         caller = self._view.upstream.service if self._view.upstream is not None else ""
         if caller:
-            headers.append((CALLER_HEADER, write_name(caller)))
-        parent = self._view.parent_class(binding)
+            headers.append((CALLER_HEADER, encode_name(caller)))
+        parent = self._view.inherited_traffic_class(binding)
         if parent:
-            headers.append((PARENT_HEADER, write_name(parent)))
+            headers.append((PARENT_CLASS_HEADER, encode_name(parent)))
         if span.traceparent:
             headers.append((TRACE_HEADER, span.traceparent))
         return headers
@@ -358,7 +362,7 @@
 
 def _classify_end(answer: Answer, taken: float, log: RequestLog) -> str:
     """Return the kind of end under which the totals count a request."""
-    ended = describe_end(answer, "timely" if log.age + taken <= log.target else "late")
+    ended = outcome_label(answer, "timely" if log.age + taken <= log.target else "late")
     return f"retried_{ended}" if log.age else ended
 
 
--- a/packages/lanedock-daemon/lanedock_daemon/path/connection.py
+++ b/packages/lanedock-daemon/lanedock_daemon/path/connection.py
@@ -10,10 +10,10 @@
 
 from lanedock.clock import monotonic
 from lanedock.errors import ErrorCode
-from lanedock_daemon.agent.attest import ALIVE_PATH
+from lanedock_daemon.agent.reachability import ALIVE_PATH
 from lanedock_daemon.path.answer_writer import close_pieces, write_pieces
 from lanedock_daemon.path.headers import HOP_HEADERS, PACE_HEADER
-from lanedock_daemon.path.http import NEVER, RETRY_AFTER, Answer, Body, Outcome, Request, make_refusal
+from lanedock_daemon.path.http import DEFAULT_RETRY_AFTER, NEVER, Answer, Body, Outcome, Request, make_refusal
 from lanedock_daemon.path.incoming import Exchange
 from lanedock_daemon.path.parser import MalformedMessage, Message, RequestReader
 from lanedock_daemon.path.service import StopTimeout
@@ -116,7 +116,7 @@
         if self.is_idle() or (self._is_closing and self.expires_at <= monotonic()):
             self.expire()
 
-    def answer_all(self) -> int:
+    def force_answers(self) -> int:
         """Force an answer to each request that has none yet, and return their number."""
         unanswered = [exchange for exchange in self._exchanges if not exchange.is_answered]
         for exchange in unanswered:
@@ -266,9 +266,9 @@
         limits = self._server.limits
         if limits is not None and body.length is not None and body.length > limits.body_bytes:
             return make_refusal(ErrorCode.BODY_TOO_LONG, Outcome.NOT_RUN)
-        if self._server.is_over():
+        if self._server.is_past_deadline():
             # This process is stopping and has sent its last answers; a request read now would not be answered.
-            return make_refusal(ErrorCode.DRAINING, Outcome.NOT_RUN, RETRY_AFTER)
+            return make_refusal(ErrorCode.DRAINING, Outcome.NOT_RUN, DEFAULT_RETRY_AFTER)
         try:
             return self._server.side.handle(_make_request(message, body))
         except StopTimeout:
--- a/packages/lanedock-daemon/lanedock_daemon/path/crashes.py
+++ b/packages/lanedock-daemon/lanedock_daemon/path/crashes.py
@@ -51,7 +51,7 @@
     registration : UpstreamRegistration
         Registration of the application.
     quarantine : Quarantine
-    on_news : callable
+    on_suspicions_changed : callable
         Called without arguments when suspicions have changed, so that other daemons are notified.
     events : EventLogger
     metrics : Metrics
@@ -64,7 +64,7 @@
         pool: ConnectionPool,
         registration: UpstreamRegistration,
         quarantine: Quarantine,
-        on_news,
+        on_suspicions_changed,
         events: EventLogger,
         metrics: Metrics,
     ):
@@ -73,7 +73,7 @@
         self._pool = pool
         self._registration = registration
         self._quarantine = quarantine
-        self._on_news = on_news
+        self._on_suspicions_changed = on_suspicions_changed
         self._events = events
         self._metrics = metrics
         self._runs = RunRegistry()
@@ -105,7 +105,7 @@
         self._served.note(fingerprint, monotonic())
         if self._quarantine.clear(fingerprint):
             self._events.emit(Event.SUSPECT_CLEARED, suspect=fingerprint)
-            self._on_news()
+            self._on_suspicions_changed()
 
     def note_abandoned(self, run: Run) -> None:
         """Record that a run's answer is no longer awaited; the application may still work on it."""
@@ -200,4 +200,4 @@
         for fingerprint in newly_quarantined:
             crashes = ",".join(self._quarantine.crashes(fingerprint))
             self._events.emit(Event.REQUEST_QUARANTINED, suspect=fingerprint, crashes=crashes)
-        self._on_news()
+        self._on_suspicions_changed()
--- a/packages/lanedock-daemon/lanedock_daemon/path/dialect.py
+++ b/packages/lanedock-daemon/lanedock_daemon/path/dialect.py
@@ -69,18 +69,20 @@
         Whether the application has not run the request and never will.
     is_foreign : bool
         Whether the answer belongs to another request.
-    is_elsewhere : bool
+    is_other_incarnation : bool
         Whether another incarnation of an application uses the address.
     report : UpstreamReport
         Statements about the application itself.
     """
 
-    __slots__ = ("is_elsewhere", "is_foreign", "report", "was_refused")
+    __slots__ = ("is_foreign", "is_other_incarnation", "report", "was_refused")
 
-    def __init__(self, was_refused=False, is_foreign=False, is_elsewhere=False, report: UpstreamReport | None = None):
+    def __init__(
+        self, was_refused=False, is_foreign=False, is_other_incarnation=False, report: UpstreamReport | None = None
+    ):
         self.was_refused = was_refused
         self.is_foreign = is_foreign
-        self.is_elsewhere = is_elsewhere
+        self.is_other_incarnation = is_other_incarnation
         self.report = report or UpstreamReport()
 
     def __repr__(self) -> str:
@@ -92,7 +94,7 @@
 
     Parameters
     ----------
-    is_well : bool
+    is_healthy : bool
     upstream : str
         Incarnation of the application; empty if not reported.
     slots : int
@@ -101,16 +103,16 @@
         Statements about the application that any of its answers may contain.
     """
 
-    __slots__ = ("is_well", "report", "slots", "upstream")
+    __slots__ = ("is_healthy", "report", "slots", "upstream")
 
-    def __init__(self, is_well: bool, upstream: str = "", slots: int = 0, report: UpstreamReport | None = None):
+    def __init__(self, is_healthy: bool, upstream: str = "", slots: int = 0, report: UpstreamReport | None = None):
         self.report = report or UpstreamReport()
-        self.is_well = is_well
+        self.is_healthy = is_healthy
         self.upstream = upstream
         self.slots = slots
 
     def __repr__(self) -> str:
-        return f"<HealthFacts well={self.is_well} {self.upstream}>"
+        return f"<HealthFacts healthy={self.is_healthy} {self.upstream}>"
 
 
 class Dialect(ABC):
--- a/packages/lanedock-daemon/lanedock_daemon/path/exchange.py
+++ b/packages/lanedock-daemon/lanedock_daemon/path/exchange.py
@@ -7,19 +7,19 @@
 from lanedock.errors import ErrorCode
 from lanedock.telemetry import Event, EventLogger
 from lanedock_daemon.path.answers import ExchangeGuard, UpstreamAnswer, make_failure
-from lanedock_daemon.path.http import CHUNK, Body, BodyTimeout, Outcome, Request
+from lanedock_daemon.path.http import MAX_PIECE_BYTES, Body, BodyTimeout, Outcome, Request
 from lanedock_daemon.path.parser import AnswerReader
 from lanedock_daemon.path.pool import ConnectionPool, ExchangeError
 from lanedock_daemon.path.service import StopTimeout
 
-__all__ = ["Consent", "Pacer", "PendingAnswer", "exchange", "note_late", "send_request"]
+__all__ = ["ContinueWait", "Pacer", "PendingAnswer", "exchange", "handle_late_answer", "send_request"]
 
 # Piece size, in bytes, of a paced body: 28 ms on a link of 2.3 Mbit/s.
-PACED_PIECE = 8 * 1024
+PACED_PIECE_SIZE = 8 * 1024
 _WITH_BODY = ("POST", "PUT", "PATCH")
 
 
-class Consent:
+class ContinueWait:
     """Delays a body until the other side requests it ("Expect: 100-continue").
 
     If the other side refuses, the body has used no bandwidth and can still be sent to another upstream.
@@ -27,9 +27,9 @@
     Parameters
     ----------
     late_after : float
-        Seconds after which the other side's consent is late.
+        Seconds after which the other side's "100 Continue" is late.
     on_late : callable
-        Called without arguments if the consent is late. This connection and others to the same
+        Called without arguments if the "100 Continue" is late. This connection and others to the same
         address may have stopped responding, and each of them would cost another body its whole
         deadline. The wait continues.
     """
@@ -41,10 +41,10 @@
         self._on_late = on_late
 
     def wait(self, reader: AnswerReader) -> bool:
-        """Wait until the other side requests the body; see `AnswerReader.wait_for_consent`."""
+        """Wait until the other side requests the body; see `AnswerReader.wait_for_continue`."""
         if not reader.conn.wait(self._late_after):
             self._on_late()
-        return reader.wait_for_consent()
+        return reader.wait_for_continue()
 
 
 class Pacer:
@@ -64,7 +64,7 @@
         self._rate = rate
         self._started = now
         self._sent = 0
-        self.piece_size = CHUNK if rate is None else PACED_PIECE
+        self.piece_size = MAX_PIECE_BYTES if rate is None else PACED_PIECE_SIZE
 
     def note_sent(self, size: int, now: float) -> float:
         """Record that bytes were sent, and return the seconds to wait before the next ones."""
@@ -115,9 +115,9 @@
             self._reader.conn.close()
             raise
 
-    def note_late(self, sent_at: float, events: EventLogger, upstream: str) -> None:
-        """Record that the answer is late; see the function `note_late`."""
-        note_late(self._pool, self._address, sent_at, events, upstream)
+    def handle_late_answer(self, sent_at: float, events: EventLogger, upstream: str) -> None:
+        """Record that the answer is late; see the function `handle_late_answer`."""
+        handle_late_answer(self._pool, self._address, sent_at, events, upstream)
 
     def read(self) -> UpstreamAnswer:
         """Read the head of the answer.
@@ -134,7 +134,7 @@
             message = reader.next_head()
             if message is None:
                 raise ConnectionError("the upstream closed the connection before the answer")
-            self._pool.note_heard(address, monotonic())
+            self._pool.record_answer_start(address, monotonic())
             return UpstreamAnswer(reader, message, self._pool, address)
 
     def close(self) -> None:
@@ -142,10 +142,10 @@
         self._reader.conn.close()
 
 
-def note_late(
+def handle_late_answer(
     pool: ConnectionPool, address: tuple[str, int], sent_at: float, events: EventLogger, upstream: str
 ) -> None:
-    """Record that an answer or consent is late, because connections to the address may have stopped responding.
+    """Record that an answer or "100 Continue" is late, because connections to the address may have stopped responding.
 
     Parameters
     ----------
@@ -157,7 +157,7 @@
     upstream : str
         Instance at the address, for the log line.
     """
-    if pool.note_late(address, sent_at):
+    if pool.handle_late_answer(address, sent_at):
         events.emit(Event.CONNECTIONS_SILENT, upstream=upstream)
 
 
@@ -167,7 +167,7 @@
     request: Request,
     headers: list[tuple[str, str]],
     deadline: float,
-    consent: Consent | None = None,
+    continue_wait: ContinueWait | None = None,
 ) -> PendingAnswer:
     """Send a request over a pooled connection.
 
@@ -181,7 +181,7 @@
     deadline : float
         Monotonic time, in seconds, for sending the request and for reading the answer until its
         first pieces are passed on.
-    consent : Consent, optional
+    continue_wait : ContinueWait, optional
         If given, the body is sent only when the other side requests it.
 
     Raises
@@ -201,7 +201,7 @@
     reader.begin(request.method)
     with ExchangeGuard(reader, address):
         reader.conn.set_deadline(deadline)
-        _send(reader, request, headers, deadline, consent)
+        _send(reader, request, headers, deadline, continue_wait)
     return PendingAnswer(pool, address, reader, deadline)
 
 
@@ -224,7 +224,11 @@
 
 
 def _send(
-    reader: AnswerReader, request: Request, headers: list[tuple[str, str]], deadline: float, consent: Consent | None
+    reader: AnswerReader,
+    request: Request,
+    headers: list[tuple[str, str]],
+    deadline: float,
+    continue_wait: ContinueWait | None,
 ) -> None:
     """Write a request; the head and a small body are sent in one piece."""
     conn, body = reader.conn, request.body
@@ -234,20 +238,20 @@
         lines.append("transfer-encoding: chunked")
     elif body.length or request.method in _WITH_BODY:
         lines.append(f"content-length: {body.length}")
-    if consent is not None:
+    if continue_wait is not None:
         lines.append("expect: 100-continue")
     head = ("\r\n".join(lines) + "\r\n\r\n").encode("latin-1")
     if body.length == 0:
-        reader.is_passed_on = True
+        reader.may_be_passed_on = True
         conn.sendall(head)
         return
-    if consent is not None:
+    if continue_wait is not None:
         conn.sendall(head)
-        if not consent.wait(reader):
+        if not continue_wait.wait(reader):
             reader.is_body_unsent = True
             return
         head = b""
-    pacer = Pacer(reader.body_pace if consent is not None else None, monotonic())
+    pacer = Pacer(reader.body_pace if continue_wait is not None else None, monotonic())
     if body.length is None:
         _send_chunked(reader, head, body, deadline, pacer)
     else:
@@ -279,7 +283,7 @@
             # connection can't be reused, because the other side may still wait for the rest.
             reader.is_body_unsent = True
             return
-        reader.is_passed_on = True
+        reader.may_be_passed_on = True
         reader.conn.sendall(head + piece if head else piece)
         head = b""
         bytes_left -= len(piece)
@@ -298,9 +302,9 @@
         if not head and not conn.is_clean():
             reader.is_body_unsent = True
             return
-        reader.is_passed_on = True
+        reader.may_be_passed_on = True
         conn.sendall(b"%b%x\r\n%b\r\n" % (head, len(piece), piece))
         head = b""
         pacer.pause(len(piece))
-    reader.is_passed_on = True
+    reader.may_be_passed_on = True
     conn.sendall(head + b"0\r\n\r\n")
--- a/packages/lanedock-daemon/lanedock_daemon/path/hashed_body.py
+++ b/packages/lanedock-daemon/lanedock_daemon/path/hashed_body.py
@@ -2,13 +2,13 @@
 """A request body whose data updates the request's fingerprint as it is read."""
 
 from lanedock.quarantine import RequestHasher
-from lanedock_daemon.path.held_body import HeldBody
-from lanedock_daemon.path.http import CHUNK, Body, Request
+from lanedock_daemon.path.buffered_body import BufferedBody
+from lanedock_daemon.path.http import MAX_PIECE_BYTES, Body, Request
 
 __all__ = ["HashedBody", "hash_body"]
 
 
-class HashedBody(HeldBody):
+class HashedBody(BufferedBody):
     """A body that updates its request's fingerprint with each piece read.
 
     Parameters
@@ -23,7 +23,7 @@
         self._body = body
         self._hasher = hasher
 
-    def hold(self, deadline: float) -> None:
+    def buffer_hashed_part(self, deadline: float) -> None:
         """Read the part that the fingerprint covers, and buffer it for later reads.
 
         Parameters
@@ -38,12 +38,12 @@
             The sender disconnected.
         """
         while not self._hasher.is_complete:
-            self.hold_piece(CHUNK, deadline)
+            self.buffer_piece(MAX_PIECE_BYTES, deadline)
 
-    def finish(self, deadline: float) -> None:
-        """Read the rest of the part that the fingerprint covers, and discard it. Raises as `hold`."""
+    def discard_hashed_part(self, deadline: float) -> None:
+        """Read the rest of the part that the fingerprint covers, and discard it. Raises as `buffer_hashed_part`."""
         while not self._hasher.is_complete:
-            self._read_next(CHUNK, deadline)
+            self._read_next(MAX_PIECE_BYTES, deadline)
 
     def _read_next(self, size: int, deadline: float) -> bytes:
         piece = self._body.read(size, deadline)
--- a/packages/lanedock-daemon/lanedock_daemon/path/headers.py
+++ b/packages/lanedock-daemon/lanedock_daemon/path/headers.py
@@ -6,7 +6,6 @@
 from urllib.parse import quote, unquote
 
 __all__ = [
-    "ARRIVED_HEADER",
     "ATTEMPT_HEADER",
     "CALLER_HEADER",
     "CLASS_HEADER",
@@ -19,23 +18,24 @@
     "LOAD_HEADER",
     "OUTCOME_HEADER",
     "PACE_HEADER",
-    "PARENT_HEADER",
+    "PARENT_CLASS_HEADER",
     "PRIVATE_PREFIX",
+    "REACHED_APPLICATION_HEADER",
     "REQUEST_ID_HEADER",
-    "RETURN_HEADER",
+    "RETRY_AFTER_MS_HEADER",
     "ROUTE_HEADER",
+    "SEND_DELAY_HEADER",
     "SERVICE_HEADER",
     "START_BY_HEADER",
     "SUSPECT_HEADER",
     "TARGET_HEADER",
     "TRACE_HEADER",
-    "TURN_HEADER",
     "UPSTREAM_HEADER",
     "VERSION_HEADER",
+    "decode_name",
+    "encode_name",
+    "parse_int",
     "public_headers",
-    "read_int",
-    "read_name",
-    "write_name",
 ]
 
 # Visible ASCII without `%`, which starts a quoted byte: names of these characters aren't quoted.
@@ -53,7 +53,7 @@
 KNOWN_LIMIT_HEADER = "x-lanedock-known-limit"
 # Milliseconds to wait before the next request to a rate-limited upstream; absent if requests
 # may be sent at once.
-TURN_HEADER = "x-lanedock-turn-ms"
+SEND_DELAY_HEADER = "x-lanedock-turn-ms"
 # The incarnation of the application that the request is addressed to.
 UPSTREAM_HEADER = "x-lanedock-upstream"
 # Milliseconds left until the target time, which counts from the caller's first attempt;
@@ -66,18 +66,18 @@
 # The deadline is unaffected.
 START_BY_HEADER = "x-lanedock-start-by-ms"
 # The most urgent traffic class among the requests that the caller's application is processing.
-PARENT_HEADER = "x-lanedock-parent-class"
+PARENT_CLASS_HEADER = "x-lanedock-parent-class"
 ROUTE_HEADER = "x-lanedock-route"
 # The calling service.
 CALLER_HEADER = "x-lanedock-caller"
 # On a refusal: milliseconds after which the request may be retried.
-RETURN_HEADER = "x-lanedock-retry-after-ms"
+RETRY_AFTER_MS_HEADER = "x-lanedock-retry-after-ms"
 # On the daemon's answer for an application that crashed during the request: the request's
 # fingerprint, and the crashes that the request is suspected to have caused.
 SUSPECT_HEADER = "x-lanedock-suspect"
 CRASHES_HEADER = "x-lanedock-crashes"
 # On a refusal: the request reached the application, and the application refused it.
-ARRIVED_HEADER = "x-lanedock-arrived"
+REACHED_APPLICATION_HEADER = "x-lanedock-arrived"
 # Headers that callers and applications use, too: an application copies the deadline
 # and the attempt to the calls that it makes for a request.
 ATTEMPT_HEADER = "x-request-attempt"
@@ -104,18 +104,18 @@
 )
 
 
-def read_int(text: str) -> int | None:
+def parse_int(text: str) -> int | None:
     """Parse a header's value as a non-negative integer; None if it isn't one."""
     return int(text) if text.isascii() and text.isdigit() else None
 
 
-def write_name(name: str) -> str:
+def encode_name(name: str) -> str:
     """Encode a name as a header value between daemons, percent-encoded if needed (RFC 3986, 2.1)."""
     return name if _PLAIN_NAME.fullmatch(name) else quote(name, safe="")
 
 
-def read_name(value: str) -> str:
-    """Decode a name that `write_name` encoded."""
+def decode_name(value: str) -> str:
+    """Decode a name that `encode_name` encoded."""
     return unquote(value) if "%" in value else value
 
 
--- a/packages/lanedock-daemon/lanedock_daemon/path/hedges.py
+++ b/packages/lanedock-daemon/lanedock_daemon/path/hedging.py
@@ -4,7 +4,7 @@
 import gevent
 
 from lanedock_daemon.path.answer_writer import close_pieces
-from lanedock_daemon.path.job import AttemptResult
+from lanedock_daemon.path.request_context import AttemptResult
 
 __all__ = ["choose_result", "close_unless_chosen"]
 
--- a/packages/lanedock-daemon/lanedock_daemon/path/http.py
+++ b/packages/lanedock-daemon/lanedock_daemon/path/http.py
@@ -6,13 +6,13 @@
 from collections.abc import Iterable
 
 from lanedock.errors import ErrorCode, LanedockError
-from lanedock_daemon.path.headers import CODE_HEADER, OUTCOME_HEADER, RETURN_HEADER
+from lanedock_daemon.path.headers import CODE_HEADER, OUTCOME_HEADER, RETRY_AFTER_MS_HEADER
 
 __all__ = [
-    "ASK_LIMIT",
-    "CHUNK",
+    "DEFAULT_RETRY_AFTER",
+    "MAX_PIECE_BYTES",
+    "MAX_UNSOLICITED_BODY_BYTES",
     "NEVER",
-    "RETRY_AFTER",
     "Answer",
     "Body",
     "BodyBroken",
@@ -23,20 +23,20 @@
     "Outcome",
     "ReplayBody",
     "Request",
-    "describe_end",
     "make_refusal",
+    "outcome_label",
     "read_whole",
 ]
 
 # Maximum bytes of a body per read.
-CHUNK = 64 * 1024
+MAX_PIECE_BYTES = 64 * 1024
 
 # Bodies longer than this, in bytes, are sent between daemons only after the receiver has asked
 # for them. Sending 8 KiB takes 16 ms on a 4 Mbit/s link, more than a round trip between zones;
 # for shorter bodies the round trip costs more than the transfer.
-ASK_LIMIT = 8 * 1024
+MAX_UNSOLICITED_BODY_BYTES = 8 * 1024
 # Seconds after which callers may retry if no better estimate is available.
-RETRY_AFTER = 1.0
+DEFAULT_RETRY_AFTER = 1.0
 
 # A deadline, in monotonic seconds, that never passes.
 NEVER = float("inf")
@@ -79,9 +79,9 @@
     pace: float = NEVER
 
     @property
-    def is_asked_for(self) -> bool:
+    def needs_continue(self) -> bool:
         """Whether the body is sent between daemons only after the receiver has asked for it."""
-        return self.length is None or self.length > ASK_LIMIT
+        return self.length is None or self.length > MAX_UNSOLICITED_BODY_BYTES
 
     @abstractmethod
     def read(self, size: int, deadline: float = NEVER) -> bytes:
@@ -125,7 +125,7 @@
         The caller disconnected before the end of the body.
     """
     pieces, size = [], 0
-    while piece := body.read(CHUNK):
+    while piece := body.read(MAX_PIECE_BYTES):
         pieces.append(piece)
         size += len(piece)
         if size > limit:
@@ -261,7 +261,7 @@
 _UNAVAILABLE = (503, "Service Unavailable")
 
 
-def describe_end(answer: Answer, answered: str) -> str:
+def outcome_label(answer: Answer, answered: str) -> str:
     """Return the label under which totals count how a request ended.
 
     Parameters
@@ -301,7 +301,7 @@
         (CODE_HEADER, code.code),
     ]
     if retry_after > 0:
-        headers.append((RETURN_HEADER, str(fields["retry_after_ms"])))
+        headers.append((RETRY_AFTER_MS_HEADER, str(fields["retry_after_ms"])))
         # This header holds whole seconds only (RFC 9110, 10.2.3).
         headers.append(("retry-after", str(max(1, round(retry_after)))))
     return Answer(status, reason, headers, [body])
--- a/packages/lanedock-daemon/lanedock_daemon/path/parser.py
+++ b/packages/lanedock-daemon/lanedock_daemon/path/parser.py
@@ -6,7 +6,7 @@
 import httptools
 
 from lanedock.errors import ErrorCode, LanedockError
-from lanedock_daemon.path.headers import PACE_HEADER, read_int
+from lanedock_daemon.path.headers import PACE_HEADER, parse_int
 from lanedock_daemon.path.http import HeadersByName
 
 __all__ = ["MAX_HEAD_BYTES", "AnswerReader", "MalformedMessage", "MessageReader", "RequestReader"]
@@ -149,7 +149,7 @@
         """Return whether a complete head is buffered."""
         return bool(self._heads)
 
-    def has_rest(self) -> bool:
+    def has_unread_data(self) -> bool:
         """Return whether data of a further message was received."""
         return bool(self._heads) or self.is_in_head
 
@@ -241,7 +241,7 @@
         Bytes per second at which the interim answer asked for the body; None for no limit.
     is_body_unsent : bool
         Whether the answer arrived before the request's body was sent completely.
-    is_passed_on : bool
+    may_be_passed_on : bool
         Whether enough of the request was sent that the peer may have passed on a part of it.
     """
 
@@ -249,14 +249,14 @@
     got_continue = False
     body_pace: int | None = None
     is_body_unsent = False
-    is_passed_on = False
+    may_be_passed_on = False
     _is_answer_complete = False
     _has_trailing_bytes = False
 
     def begin(self, method: str) -> None:
         """Prepare for the answer to the next request."""
         self.method = method
-        self.is_passed_on = False
+        self.may_be_passed_on = False
         self._is_answer_complete = False
 
     def on_message_complete(self) -> None:
@@ -268,13 +268,13 @@
         self._has_trailing_bytes = self._is_answer_complete
         return self._has_trailing_bytes
 
-    def has_rest(self) -> bool:
-        return self._has_trailing_bytes or super().has_rest()
+    def has_unread_data(self) -> bool:
+        return self._has_trailing_bytes or super().has_unread_data()
 
     def _make_parser(self):
         return httptools.HttpResponseParser(self)
 
-    def wait_for_consent(self) -> bool:
+    def wait_for_continue(self) -> bool:
         """Wait until the peer asks for the body; return False if it answers without asking.
 
         Raises
@@ -296,7 +296,7 @@
             # An interim answer; the final one follows.
             self.is_in_head = False
             self.got_continue = True
-            self.body_pace = read_int(self._current.header(PACE_HEADER))
+            self.body_pace = parse_int(self._current.header(PACE_HEADER))
             return
         super().on_headers_complete()
 
--- a/packages/lanedock-daemon/lanedock_daemon/path/pool.py
+++ b/packages/lanedock-daemon/lanedock_daemon/path/pool.py
@@ -65,7 +65,7 @@
 
     A connection is checked before it is reused and dropped if the peer has closed it
     or has sent unsolicited data. The check can't detect a connection that stopped
-    delivering without a reset; `note_late` handles that case.
+    delivering without a reset; `handle_late_answer` handles that case.
 
     Parameters
     ----------
@@ -133,11 +133,11 @@
             reader_address == address and reader.conn.is_clean() for reader, reader_address in self._addresses.items()
         )
 
-    def note_heard(self, address: tuple[str, int], now: float) -> None:
+    def record_answer_start(self, address: tuple[str, int], now: float) -> None:
         """Record that an answer from an address has begun to arrive."""
         self._heard_at[address] = now
 
-    def note_late(self, address: tuple[str, int], sent_at: float) -> bool:
+    def handle_late_answer(self, address: tuple[str, int], sent_at: float) -> bool:
         """Record that an answer is later than nearly all others.
 
         If no answer has come from the address since the request was sent, its connections
@@ -157,10 +157,10 @@
         """
         if self._heard_at.get(address, float("-inf")) >= sent_at or not self._idle.get(address):
             return False
-        self.forget(address)
+        self.close_idle(address)
         return True
 
-    def forget(self, address: tuple[str, int]) -> None:
+    def close_idle(self, address: tuple[str, int]) -> None:
         """Close the idle connections to an address."""
         for reader in self._idle.pop(address, ()):
             reader.conn.close()
@@ -168,7 +168,7 @@
     def close(self) -> None:
         """Close all idle connections."""
         for address in list(self._idle):
-            self.forget(address)
+            self.close_idle(address)
 
 
 def _set_socket_options(conn) -> None:
--- a/packages/lanedock-daemon/lanedock_daemon/path/job.py
+++ b/packages/lanedock-daemon/lanedock_daemon/path/request_context.py
@@ -9,7 +9,7 @@
 from lanedock.telemetry import RequestLog
 from lanedock_daemon.path.http import Answer, Request
 
-__all__ = ["AttemptResult", "Job"]
+__all__ = ["AttemptResult", "RequestContext"]
 
 
 class AttemptResult:
@@ -50,7 +50,7 @@
         self.may_have_run = may_have_run
 
 
-class Job:
+class RequestContext:
     """State shared by all attempts at one request.
 
     Parameters
--- a/packages/lanedock-daemon/lanedock_daemon/path/server.py
+++ b/packages/lanedock-daemon/lanedock_daemon/path/server.py
@@ -34,7 +34,7 @@
     ----------
     get_limits : callable, optional
         Returns the `CallerLimits` in force, or None.
-    max_kept : int, optional
+    max_connections : int, optional
         Number of open connections above which connections are closed after their answers.
 
     Attributes
@@ -51,10 +51,10 @@
         plan: StopPlan,
         events: EventLogger,
         get_limits=lambda: None,
-        max_kept=None,
+        max_connections=None,
         closes_last: bool = False,
     ):
-        self._max_kept = max_kept
+        self._max_connections = max_connections
         super().__init__(name, address, side, plan, events, closes_last)
         self.limits = None
         self._get_limits = get_limits
@@ -73,13 +73,13 @@
         super().stop()
         self._sweeper.kill()
 
-    def _answer_rest(self) -> None:
+    def _force_final_answers(self) -> None:
         """Force answers to all unanswered requests.
 
         Otherwise the end of the process would cut their connections, and their callers
         would not learn whether the requests ran.
         """
-        count = sum(connection.answer_all() for connection in list(self._connections))
+        count = sum(connection.force_answers() for connection in list(self._connections))
         if count:
             self._events.emit(Event.CUT_SHORT, requests=count)
 
@@ -100,8 +100,8 @@
         return self.limits.header_timeout_ms / 1000, self.limits.idle_timeout_ms / 1000
 
     def is_over_connection_limit(self) -> bool:
-        """Return whether more than `max_kept` connections are open."""
-        return self._max_kept is not None and len(self._connections) > self._max_kept
+        """Return whether more than `max_connections` connections are open."""
+        return self._max_connections is not None and len(self._connections) > self._max_connections
 
     def _end_oldest_idle(self) -> None:
         """End the oldest idle connection to make room for a new one.
@@ -119,7 +119,7 @@
         """Whether the process is stopping, so that answers in progress may be cut."""
         return self._plan.is_begun
 
-    def is_over(self) -> bool:
+    def is_past_deadline(self) -> bool:
         """Return whether the process is stopping and the deadline for final answers has passed."""
         return self._plan.is_begun and monotonic() >= self._plan.deadline
 
--- a/packages/lanedock-daemon/lanedock_daemon/path/service.py
+++ b/packages/lanedock-daemon/lanedock_daemon/path/service.py
@@ -85,7 +85,7 @@
         if self._final_answers is None:
             now = monotonic()
             self._plan.begin(now)
-            self._final_answers = gevent.spawn_later(max(0.0, self._plan.deadline - now), self._answer_rest)
+            self._final_answers = gevent.spawn_later(max(0.0, self._plan.deadline - now), self._force_final_answers)
         if not self._closes_last:
             self._close()
 
@@ -94,7 +94,7 @@
         self.is_stopping = True
         self._server.close()
 
-    def _answer_rest(self) -> None:
+    def _force_final_answers(self) -> None:
         """Answer all requests still in progress; does nothing unless a subclass can do so."""
 
     def stop(self) -> None:
--- a/packages/lanedock-daemon/lanedock_daemon/path/slot_gate.py
+++ b/packages/lanedock-daemon/lanedock_daemon/path/slot_gate.py
@@ -14,12 +14,12 @@
 from lanedock_daemon.path.headers import (
     CALLER_HEADER,
     CLASS_HEADER,
-    PARENT_HEADER,
+    PARENT_CLASS_HEADER,
     ROUTE_HEADER,
     SERVICE_HEADER,
-    read_name,
+    decode_name,
 )
-from lanedock_daemon.path.http import RETRY_AFTER, Request
+from lanedock_daemon.path.http import DEFAULT_RETRY_AFTER, Request
 from lanedock_daemon.path.service import StopTimeout
 
 __all__ = ["Slot", "SlotGate"]
@@ -125,13 +125,13 @@
         calls for less urgent requests of another service would overtake the urgent requests that
         a shared service gets itself, whose target times are later.
         """
-        own = read_name(request.header(CLASS_HEADER))
+        own = decode_name(request.header(CLASS_HEADER))
         is_own = request.header(CALLER_HEADER) == request.header(SERVICE_HEADER)
         is_call = self._calls.note(request.header(ROUTE_HEADER), is_own)
         if not is_call or binding is None:
             return own
         classes = binding.config.traffic_classes
-        parent = classes.get(read_name(request.header(PARENT_HEADER)))
+        parent = classes.get(decode_name(request.header(PARENT_CLASS_HEADER)))
         if parent is None or own not in classes or parent.priority <= classes[own].priority:
             return own
         return parent.name
@@ -162,7 +162,7 @@
             is_admitted = admitted.wait(timeout=result.expires_at - now)
         except StopTimeout:
             self._leave_queue(result, traffic_class)
-            return Refused(ErrorCode.DRAINING, RETRY_AFTER)
+            return Refused(ErrorCode.DRAINING, DEFAULT_RETRY_AFTER)
         except BaseException:
             # The caller has disconnected; its place in the queue, or the slot that it has just
             # been given, must be released.
--- a/packages/lanedock-daemon/lanedock_daemon/path/tests/chain.py
+++ b/packages/lanedock-daemon/lanedock_daemon/path/tests/chain.py
@@ -8,7 +8,7 @@
 from gevent import socket
 from gevent.server import StreamServer
 
-from lanedock.config import needed_groups, split_config
+from lanedock.config import find_needed_groups, split_config
 from lanedock.kernel import StopPlan
 from lanedock.rollout import VersionHolder
 from lanedock.settings import Address
@@ -173,7 +173,7 @@
 def put_in_force(view: LocalView, value: dict, is_entry: bool) -> None:
     tree = split_config(value)
     holder: VersionHolder = view.holder
-    holder.put_in_force(tree.whole_push(needed_groups(tree, is_entry, value["services"][0]["name"])))
+    holder.put_in_force(tree.make_full_push(find_needed_groups(tree, is_entry, value["services"][0]["name"])))
     view.publish()
 
 
@@ -208,7 +208,7 @@
                 incarnation=incarnation,
                 **(first if upstream is self.upstreams[0] else {}),
             )
-        self.view.take_endpoints(update)
+        self.view.apply_endpoints(update)
 
     def connect(self):
         return socket.create_connection((HOST, self.entry.port), timeout=10)
--- a/packages/lanedock-daemon/lanedock_daemon/path/tests/test_advertised_facts.py
+++ b/packages/lanedock-daemon/lanedock_daemon/path/tests/test_advertised_facts.py
@@ -82,17 +82,17 @@
     chain = make_chain(draining, free)
     upstream = chain.upstreams[0]
     registration = UpstreamRegistration("s", True, 1.0)
-    registration.beat(Heartbeat("a1", "s", 1, False, 4, 0.0), monotonic())
+    registration.process_heartbeat(Heartbeat("a1", "s", 1, False, 4, 0.0), monotonic())
     upstream.replace_registration(registration)
     _offer(chain, OFFERED_RATE, 0.2)
     assert draining.arrivals
     arrived_before = len(draining.arrivals)
     assert registration.is_leaving
-    registration.beat(Heartbeat("a1", "s", 2, False, 4, 0.0), monotonic())
+    registration.process_heartbeat(Heartbeat("a1", "s", 2, False, 4, 0.0), monotonic())
     assert set(_offer(chain, OFFERED_RATE, 0.2)) == {200}
     assert len(draining.arrivals) == arrived_before
     draining.headers = []
-    registration.beat(Heartbeat("a2", "s", 1, False, 4, 0.0), monotonic())
+    registration.process_heartbeat(Heartbeat("a2", "s", 1, False, 4, 0.0), monotonic())
     chain.publish_endpoints(incarnation=2)
     assert set(_offer(chain, OFFERED_RATE, 0.5)) == {200}
     assert len(draining.arrivals) > arrived_before
@@ -161,9 +161,9 @@
     chain = make_chain(limited, free)
     budget = chain.view.budget("s")
     _offer(chain, OFFERED_RATE, 1.0)
-    left = budget.left(monotonic())
+    left = budget.available(monotonic())
     assert set(_offer(chain, OFFERED_RATE, 1.0)) == {200}
-    assert budget.left(monotonic()) >= left
+    assert budget.available(monotonic()) >= left
     stats = chain.view.balancer("s")._upstreams["u0"]
     assert not stats.ejections and not stats.failures
 
@@ -173,11 +173,11 @@
     chain = make_chain(gate)
     upstream = chain.upstreams[0]
     registration = UpstreamRegistration("s", True, 1.0)
-    registration.beat(Heartbeat("a1", "s", 1, False, 4, 0.0, started=1), monotonic())
+    registration.process_heartbeat(Heartbeat("a1", "s", 1, False, 4, 0.0, started=1), monotonic())
     upstream.replace_registration(registration)
     task = gevent.spawn(chain.request, "GET")
     wait_until(lambda: gate.begun)
-    registration.beat(Heartbeat("a1", "s", 1, False, 4, 0.0, started=2), monotonic())
+    registration.process_heartbeat(Heartbeat("a1", "s", 1, False, 4, 0.0, started=2), monotonic())
     gate.headers = "x-upstream-draining: 1\r\n"
     gate.opened.set()
     assert task.get(timeout=10)[0] == 200
@@ -189,7 +189,7 @@
     chain = make_chain(limited, free)
     upstream = chain.upstreams[0]
     registration = UpstreamRegistration("s", True, 1.0)
-    registration.beat(Heartbeat("a1", "s", 1, False, 4, 0.0), monotonic())
+    registration.process_heartbeat(Heartbeat("a1", "s", 1, False, 4, 0.0), monotonic())
     upstream.replace_registration(registration)
     chain.publish_endpoints(incarnation=2, upstream="a1", rate_limit=1.0)
     # No answer that could state the limit has come yet.
@@ -203,7 +203,7 @@
     chain = make_chain(app)
     upstream = chain.upstreams[0]
     registration = UpstreamRegistration("s", True, 1.0)
-    registration.beat(Heartbeat("a1", "s", 1, False, 4, 0.0), monotonic())
+    registration.process_heartbeat(Heartbeat("a1", "s", 1, False, 4, 0.0), monotonic())
     upstream.replace_registration(registration)
     registration.advertised.note(4.0, monotonic())
     upstream.side._gate.update_rate()
--- a/packages/lanedock-daemon/lanedock_daemon/path/tests/test_body_gate.py
+++ b/packages/lanedock-daemon/lanedock_daemon/path/tests/test_body_gate.py
@@ -17,7 +17,7 @@
     SERVICE_HEADER,
     TARGET_HEADER,
 )
-from lanedock_daemon.path.http import ASK_LIMIT, Outcome
+from lanedock_daemon.path.http import MAX_UNSOLICITED_BODY_BYTES, Outcome
 from lanedock_daemon.path.tests.chain import HOST, Gate, make_value, wait_until
 
 CONTINUE = b"HTTP/1.1 100 Continue\r\n\r\n"
@@ -95,7 +95,7 @@
 def test_a_body_is_requested_only_when_a_slot_is_free(make_upstream):
     gate = Gate()
     upstream = make_upstream(gate, slots=1)
-    first = Sender(upstream, ASK_LIMIT + 1, path="/first")
+    first = Sender(upstream, MAX_UNSOLICITED_BODY_BYTES + 1, path="/first")
     first.read_consent()
     first.send()
     wait_until(lambda: gate.begun == ["/first"])
@@ -156,7 +156,7 @@
 def test_requests_without_a_body_or_with_a_small_one_are_admitted_when_the_link_is_full(make_upstream):
     upstream = make_upstream(slots=8)
     senders = _fill(upstream)
-    small = Sender(upstream, ASK_LIMIT, path="/small")
+    small = Sender(upstream, MAX_UNSOLICITED_BODY_BYTES, path="/small")
     small.read_consent()
     small.send()
     assert small.read_answer().startswith("HTTP/1.1 200")
@@ -269,18 +269,18 @@
 ).encode()
 
 
-@pytest.mark.parametrize("length", [ASK_LIMIT, ASK_LIMIT + 1, LONG])
+@pytest.mark.parametrize("length", [MAX_UNSOLICITED_BODY_BYTES, MAX_UNSOLICITED_BODY_BYTES + 1, LONG])
 def test_the_callers_side_sends_a_body_above_the_ask_limit_only_on_request(make_chain, length):
     """The refused request is retried at another upstream, whether its body was sent or not."""
     chain = make_chain(None)
     scripted = Scripted()
-    chain.view.take_endpoints(scripted.endpoints())
+    chain.view.apply_endpoints(scripted.endpoints())
     body = bytes(number % 251 for number in range(length))
     try:
         assert chain.request("POST", body=body)[0] == 200
     finally:
         scripted.server.stop(timeout=0)
-    is_small = length <= ASK_LIMIT
+    is_small = length <= MAX_UNSOLICITED_BODY_BYTES
     assert [b"expect: 100-continue" not in head for head in scripted.heads] == [is_small] * 2
     assert scripted.bodies == ([body, body] if is_small else [body])
 
@@ -303,7 +303,7 @@
     last = Sender(upstream, path="/last")
     wait_until(lambda: upstream.side._gate.bodies.waiting == 1)
     for connection in list(upstream.server._connections):
-        connection.answer_all()
+        connection.force_answers()
     answer = last.read_answer()
     assert f"{OUTCOME_HEADER}: {Outcome.NOT_RUN}" in answer
     assert f"{CODE_HEADER}: {ErrorCode.DRAINING.code}" in answer
@@ -321,7 +321,7 @@
     update = messages.EndpointUpdate(whole=True)
     for name, port in (("ended", ended.server_port), ("u0", chain.upstreams[0].server.port)):
         update.changed.add(instance=name, service="s", zone="z", host=HOST, port=port, incarnation=1)
-    chain.view.take_endpoints(update)
+    chain.view.apply_endpoints(update)
     try:
         assert [chain.request("POST", body=bytes(LONG))[0] for _ in range(8)] == [200] * 8
     finally:
--- a/packages/lanedock-daemon/lanedock_daemon/path/tests/test_closing.py
+++ b/packages/lanedock-daemon/lanedock_daemon/path/tests/test_closing.py
@@ -127,7 +127,7 @@
 @pytest.mark.parametrize("is_over_connection_limit", [False, True])
 def test_no_request_starts_after_an_answer_that_closes_the_connection(make_server, is_over_connection_limit):
     side = _StreamingSide()
-    server = make_server(side, max_kept=0 if is_over_connection_limit else None)
+    server = make_server(side, max_connections=0 if is_over_connection_limit else None)
     with socket.create_connection((HOST, server.port), timeout=TIMEOUT) as conn:
         if is_over_connection_limit:
             conn.sendall(_request("/long"))
@@ -157,15 +157,15 @@
     assert got.count(b"HTTP/1.1 200 OK") == 2
 
 
-@pytest.mark.parametrize("max_kept", [None, 0])
+@pytest.mark.parametrize("max_connections", [None, 0])
 @pytest.mark.parametrize(
     "head,more", [(UPLOAD, b"." * 10_000), (_request("/x"), 100 * _request("/y")), (_request("/x"), b"no HTTP\r\n\r\n")]
 )
 def test_a_refusal_reaches_a_caller_that_still_sends_while_the_server_stops(
-    make_server, monkeypatch, head, more, max_kept
+    make_server, monkeypatch, head, more, max_connections
 ):
     monkeypatch.setattr(connection, "LINGER_TIMEOUT", TIMEOUT)
-    server = make_server(_RefusingSide(), max_kept=max_kept)
+    server = make_server(_RefusingSide(), max_connections=max_connections)
     with socket.create_connection((HOST, server.port), timeout=TIMEOUT) as conn:
         _begin_stop_during_head(server, conn, head)
         stopping = gevent.spawn(server.stop)
--- a/packages/lanedock-daemon/lanedock_daemon/path/tests/test_crowds.py
+++ b/packages/lanedock-daemon/lanedock_daemon/path/tests/test_crowds.py
@@ -29,7 +29,9 @@
 @pytest.fixture
 def server():
     """Start a server that keeps at most `MAX_KEPT` connections."""
-    path_server = PathServer("s", Address(HOST, 0), _Side(), StopPlan(0.0, 1.0), EventLogger("s"), max_kept=MAX_KEPT)
+    path_server = PathServer(
+        "s", Address(HOST, 0), _Side(), StopPlan(0.0, 1.0), EventLogger("s"), max_connections=MAX_KEPT
+    )
     path_server.start(None)
     yield path_server
     path_server.stop()
@@ -68,7 +70,7 @@
 from lanedock.telemetry import EventLogger
 from lanedock_daemon.path.server import PathServer
 from lanedock_daemon.path.tests.test_crowds import _Side
-server = PathServer("s", Address("127.0.0.1", 0), _Side(), StopPlan(0.0, 1.0), EventLogger("s"), max_kept=16)
+server = PathServer("s", Address("127.0.0.1", 0), _Side(), StopPlan(0.0, 1.0), EventLogger("s"), max_connections=16)
 server.start(None)
 print(server.port, flush=True)
 gevent.sleep(60)
--- a/packages/lanedock-daemon/lanedock_daemon/path/tests/test_deadlines.py
+++ b/packages/lanedock-daemon/lanedock_daemon/path/tests/test_deadlines.py
@@ -185,7 +185,7 @@
     chain = make_chain(None, value=_make_value())
     update = messages.EndpointUpdate(whole=True)
     update.changed.add(instance="u0", service="s", zone="z", host=HOST, port=receiver.server_port, incarnation=2)
-    chain.view.take_endpoints(update)
+    chain.view.apply_endpoints(update)
     with chain.connect() as conn, gevent.Timeout(WAIT_LIMIT_S):
         head = b"POST /x HTTP/1.1\r\nHost: h\r\nContent-Length: %d\r\n\r\n" % length
         sending = gevent.spawn(conn.sendall, head + b"." * length)
--- a/packages/lanedock-daemon/lanedock_daemon/path/tests/test_names.py
+++ b/packages/lanedock-daemon/lanedock_daemon/path/tests/test_names.py
@@ -7,8 +7,8 @@
 
 import pytest
 
-from lanedock.config import check_value
-from lanedock_daemon.path.headers import read_name, write_name
+from lanedock.config import check_generated_config
+from lanedock_daemon.path.headers import decode_name, encode_name
 from lanedock_daemon.path.tests.chain import make_value
 
 NAMES = ["řeka", "café", " a b ", "a%2Fb", "a:b,c"]
@@ -22,12 +22,12 @@
     for route in value["routes"]:
         for field in ("service", "traffic_class"):
             route[field] = name if route[field] == old_name else route[field]
-    check_value(value, "f")
+    check_generated_config(value, "f")
     assert make_chain(value=value).request("GET")[0] == 200
 
 
 @pytest.mark.parametrize("name", ["get", *NAMES])
 def test_encoded_name_decodes_to_the_same_name(name):
-    written = write_name(name)
+    written = encode_name(name)
     assert written.isascii() and " " not in written
-    assert read_name(written) == name
+    assert decode_name(written) == name
--- a/packages/lanedock-daemon/lanedock_daemon/path/tests/test_narrow_link.py
+++ b/packages/lanedock-daemon/lanedock_daemon/path/tests/test_narrow_link.py
@@ -112,7 +112,7 @@
     link = NarrowLink((HOST, chain.upstreams[0].server.port))
     update = messages.EndpointUpdate(whole=True)
     update.changed.add(instance="u0", service="s", zone="z", host=HOST, port=link.port, incarnation=1)
-    chain.view.take_endpoints(update)
+    chain.view.apply_endpoints(update)
     try:
         uploads = [gevent.spawn(chain.request, "POST", f"/{number}", b"x" * BODY_BYTES) for number in range(UPLOADS)]
         gevent.joinall(uploads, timeout=30, raise_error=True)
--- a/packages/lanedock-daemon/lanedock_daemon/path/tests/test_pacer.py
+++ b/packages/lanedock-daemon/lanedock_daemon/path/tests/test_pacer.py
@@ -5,12 +5,12 @@
 
 from lanedock.limits import AdmissionRequest, BodyAdmission
 from lanedock.limits.tests.link import BODY, CLASSES, FAR, NARROW, WIDE
-from lanedock_daemon.path.exchange import CHUNK, PACED_PIECE, Pacer
+from lanedock_daemon.path.exchange import MAX_PIECE_BYTES, PACED_PIECE_SIZE, Pacer
 
 
 def test_pieces_are_sent_at_the_requested_pace():
     pacer = Pacer(100_000, 5.0)
-    assert pacer.piece_size == PACED_PIECE
+    assert pacer.piece_size == PACED_PIECE_SIZE
     assert pacer.note_sent(8_000, 5.0) == pytest.approx(0.08)
     # After a delay of its own, the sender catches up.
     assert pacer.note_sent(8_000, 5.2) == 0.0
@@ -20,7 +20,7 @@
 @pytest.mark.parametrize("rate", [None, 0])
 def test_no_delay_without_a_pace(rate):
     assert Pacer(rate, 0.0).note_sent(10**9, 0.0) == 0.0
-    assert Pacer(None, 0.0).piece_size == CHUNK
+    assert Pacer(None, 0.0).piece_size == MAX_PIECE_BYTES
 
 
 def _admit(bodies: BodyAdmission, now: float):
--- a/packages/lanedock-daemon/lanedock_daemon/path/tests/test_job.py
+++ b/packages/lanedock-daemon/lanedock_daemon/path/tests/test_request_context.py
@@ -5,7 +5,7 @@
 
 from lanedock.config import Route
 from lanedock_daemon.path.http import EmptyBody, ReplayBody, Request
-from lanedock_daemon.path.job import Job
+from lanedock_daemon.path.request_context import RequestContext
 
 
 class _Balancer:
@@ -32,6 +32,6 @@
 def test_the_balancer_is_told_of_routes_and_requests_with_long_bodies(flags, limit, expected):
     request = Request("GET", "/x", "h", [], ReplayBody(EmptyBody(), limit))
     balancer = _Balancer()
-    job = Job(request, [], Route("r", "/", "s", **flags), _Service(), balancer, None, 1.0, 1.0, None)
-    job.choose(0.0)
+    context = RequestContext(request, [], Route("r", "/", "s", **flags), _Service(), balancer, None, 1.0, 1.0, None)
+    context.choose(0.0)
     assert balancer.is_long is expected
--- a/packages/lanedock-daemon/lanedock_daemon/path/tests/test_silence.py
+++ b/packages/lanedock-daemon/lanedock_daemon/path/tests/test_silence.py
@@ -5,8 +5,8 @@
 import pytest
 
 from lanedock.wire import messages
+from lanedock_daemon.path.attempts import ANSWER_BUFFER_LIMIT
 from lanedock_daemon.path.tests.chain import HOST, wait_until
-from lanedock_daemon.path.tries import BUFFER_LIMIT
 from lanedock_daemon.tests.proxies import SilencingProxy
 
 
@@ -24,7 +24,7 @@
             update.changed.add(
                 instance=upstream.name, service="s", zone="z", host=HOST, port=proxy.address[1], incarnation=2
             )
-            chain.view.take_endpoints(update)
+            chain.view.apply_endpoints(update)
         else:
             proxy = SilencingProxy(upstream.application.address)
             upstream.side._application = proxy.address
@@ -78,7 +78,7 @@
 
     chain.applications[0].script = script
     status, head, body = chain.request("GET", "/first")
-    if size < BUFFER_LIMIT:
+    if size < ANSWER_BUFFER_LIMIT:
         assert status == 504 and "x-request-outcome: unknown" in head.lower()
     else:
         assert status == 200 and len(body) < size
@@ -115,7 +115,7 @@
     gevent.joinall(warm_up)
     wait_until(lambda: len(pool._idle[address]) > 1)
     sent_at = pool._heard_at[address] - 0.001
-    assert not pool.note_late(address, sent_at)
+    assert not pool.handle_late_answer(address, sent_at)
     assert len(pool._idle[address]) > 1
-    assert pool.note_late(address, pool._heard_at[address] + 0.001)
+    assert pool.handle_late_answer(address, pool._heard_at[address] + 0.001)
     assert not pool._idle.get(address)
--- a/packages/lanedock-daemon/lanedock_daemon/path/tests/test_urgency.py
+++ b/packages/lanedock-daemon/lanedock_daemon/path/tests/test_urgency.py
@@ -4,7 +4,7 @@
 import gevent
 import pytest
 
-from lanedock_daemon.path.headers import CALLER_HEADER, CLASS_HEADER, PARENT_HEADER, ROUTE_HEADER, SERVICE_HEADER
+from lanedock_daemon.path.headers import CALLER_HEADER, CLASS_HEADER, PARENT_CLASS_HEADER, ROUTE_HEADER, SERVICE_HEADER
 from lanedock_daemon.path.http import EmptyBody, Request
 from lanedock_daemon.path.tests.chain import Gate, wait_until
 
@@ -15,7 +15,7 @@
 def _request(route: str, own: str, parent: str, caller: str) -> Request:
     headers = [(ROUTE_HEADER, route), (CLASS_HEADER, own), (CALLER_HEADER, caller), (SERVICE_HEADER, "s")]
     if parent:
-        headers.append((PARENT_HEADER, parent))
+        headers.append((PARENT_CLASS_HEADER, parent))
     return Request("GET", "/x", "h", headers, EmptyBody())
 
 
@@ -43,11 +43,11 @@
     gate = Gate()
     chain = make_chain(gate)
     view = chain.upstreams[0].view
-    assert view.parent_class(view.bind()) == ""
+    assert view.inherited_traffic_class(view.bind()) == ""
     asked = [gevent.spawn(chain.request, "GET")]
-    wait_until(lambda: view.parent_class(view.bind()) == LESS_URGENT)
+    wait_until(lambda: view.inherited_traffic_class(view.bind()) == LESS_URGENT)
     asked.append(gevent.spawn(chain.request, "POST"))
-    wait_until(lambda: view.parent_class(view.bind()) == URGENT)
+    wait_until(lambda: view.inherited_traffic_class(view.bind()) == URGENT)
     gate.opened.set()
     assert [task.get()[0] for task in asked] == [200, 200]
-    wait_until(lambda: view.parent_class(view.bind()) == "")
+    wait_until(lambda: view.inherited_traffic_class(view.bind()) == "")
--- a/packages/lanedock-daemon/lanedock_daemon/path/upstream.py
+++ b/packages/lanedock-daemon/lanedock_daemon/path/upstream.py
@@ -3,7 +3,7 @@
 
 import math
 
-from lanedock.clock import awake, monotonic
+from lanedock.clock import monotonic, running_time
 from lanedock.errors import ErrorCode
 from lanedock.limits import AdmissionRequest
 from lanedock.membership import UpstreamRegistration, UpstreamReport, read_rate
@@ -18,34 +18,34 @@
 from lanedock_daemon.path.exchange import send_request
 from lanedock_daemon.path.hashed_body import hash_body
 from lanedock_daemon.path.headers import (
-    ARRIVED_HEADER,
     ATTEMPT_HEADER,
     CALLER_HEADER,
     DEADLINE_HEADER,
     KNOWN_LIMIT_HEADER,
     LEAVING_HEADER,
     LOAD_HEADER,
+    REACHED_APPLICATION_HEADER,
     ROUTE_HEADER,
+    SEND_DELAY_HEADER,
     SERVICE_HEADER,
     START_BY_HEADER,
     TARGET_HEADER,
     TRACE_HEADER,
-    TURN_HEADER,
     UPSTREAM_HEADER,
     VERSION_HEADER,
+    decode_name,
+    parse_int,
     public_headers,
-    read_int,
-    read_name,
 )
 from lanedock_daemon.path.http import (
-    RETRY_AFTER,
+    DEFAULT_RETRY_AFTER,
     Answer,
     BodyTimeout,
     Leaving,
     Outcome,
     Request,
-    describe_end,
     make_refusal,
+    outcome_label,
 )
 from lanedock_daemon.path.parser import MalformedMessage
 from lanedock_daemon.path.pool import ConnectionPool, ExchangeError
@@ -115,7 +115,7 @@
         )
         self._tracer: Tracer = tracer
         self._gate = SlotGate(self._registration, metrics, link_rate)
-        view.set_work(self._gate.limiter)
+        view.set_slot_limiter(self._gate.limiter)
 
     @property
     def in_progress(self) -> int:
@@ -141,7 +141,7 @@
         self._requests.end(log, answer.status >= 400)
         taken = monotonic() - started
         self._metrics.time(Metric.LATENCY, taken)
-        self._requests.totals.note("upstream", log.route, describe_end(answer, "done"), taken, log.waited)
+        self._requests.totals.note("upstream", log.route, outcome_label(answer, "done"), taken, log.waited)
         span.end(**{"http.status_code": answer.status, "http.target": request.path})
         self._metrics.gauge(Metric.IN_PROGRESS, self._gate.limiter.in_use)
         self._metrics.gauge(Metric.QUEUED, self._gate.limiter.waiting)
@@ -149,9 +149,9 @@
         self._metrics.gauge(Metric.RATE_LIMIT, rate or 0.0)
         self._metrics.gauge(Metric.IS_RATE_LIMITED, rate is not None)
         answer.headers.append((LOAD_HEADER, str(self.in_progress)))
-        turn = self._gate.limiter.next_turn(monotonic())
-        if turn:
-            answer.headers.append((TURN_HEADER, str(math.ceil(1000 * turn))))
+        send_delay = self._gate.limiter.next_send_delay(monotonic())
+        if send_delay:
+            answer.headers.append((SEND_DELAY_HEADER, str(math.ceil(1000 * send_delay))))
         if self._registration.is_leaving:
             answer.headers.append((LEAVING_HEADER, Leaving.APPLICATION))
         elif self._view.is_draining:
@@ -160,39 +160,41 @@
 
     def _admit(self, request: Request, facts: RequestFacts, span, started: float, log: RequestLog) -> Answer:
         if self._view.is_draining:
-            return self._refuse(ErrorCode.DRAINING, RETRY_AFTER, log, reason="the daemon is draining")
+            return self._refuse(ErrorCode.DRAINING, DEFAULT_RETRY_AFTER, log, reason="the daemon is draining")
         expected = request.header(UPSTREAM_HEADER)
-        refusal = self._registration.judge(expected)
+        refusal = self._registration.refusal_code(expected)
         if refusal is not None:
-            return self._refuse(refusal, RETRY_AFTER, log, meant=expected, incarnation=self._registration.upstream)
+            return self._refuse(
+                refusal, DEFAULT_RETRY_AFTER, log, meant=expected, incarnation=self._registration.upstream
+            )
         known_limit = read_rate(request.header(KNOWN_LIMIT_HEADER)) if expected else None
         if known_limit is not None:
             # After a restart this daemon doesn't know the limit until the application answers.
-            self._registrar.learn_rate(known_limit)
+            self._registrar.adopt_rate(known_limit)
         binding = self._view.bind()
-        version = read_int(request.header(VERSION_HEADER))
+        version = parse_int(request.header(VERSION_HEADER))
         if version is not None:
             self._view.note_version(version)
-        service = read_name(request.header(SERVICE_HEADER))
+        service = decode_name(request.header(SERVICE_HEADER))
         if self._registration.upstream:
             # The application has reported the service that it runs.
             is_served_here = service == self._registration.service
         elif binding is None:
-            return self._refuse(ErrorCode.NOT_READY, RETRY_AFTER, log, **self._view.age())
+            return self._refuse(ErrorCode.NOT_READY, DEFAULT_RETRY_AFTER, log, **self._view.unready_details())
         else:
             is_served_here = service == self._service and self._service in binding.config.services
         if not is_served_here:
-            return self._refuse(ErrorCode.NOT_HELD, RETRY_AFTER, log, service=service)
+            return self._refuse(ErrorCode.NOT_HELD, DEFAULT_RETRY_AFTER, log, service=service)
         hasher = RequestHasher(request.method, request.host, request.target, facts.customer, request.body.length)
         if hasher.is_complete and self._is_quarantined(hasher):
             return self._refuse_quarantined(hasher, log)
         self._gate.configure(binding)
         deadline = _read_monotonic_time(request, DEADLINE_HEADER, started)
         if deadline is None:
-            deadline = started + RETRY_AFTER
+            deadline = started + DEFAULT_RETRY_AFTER
         traffic_class = self._gate.classify(request, binding)
         target_time = _read_monotonic_time(request, TARGET_HEADER, started)
-        log.route = read_name(request.header(ROUTE_HEADER))
+        log.route = decode_name(request.header(ROUTE_HEADER))
         start_by = _read_monotonic_time(request, START_BY_HEADER, started)
         admission = AdmissionRequest(deadline, target_time, log.route, start_by)
         refused = self._gate.reserve(request, traffic_class, admission)
@@ -204,14 +206,14 @@
         hashed = hash_body(request, hasher)
         # The application may have begun to leave while the request waited for its body or for the
         # rate limit, so this is checked again; nothing of the request has been passed on yet.
-        refusal = self._wait_to_pass_on(request, hashed, hasher, traffic_class, deadline) or self._registration.judge(
-            expected
-        )
+        refusal = self._wait_to_pass_on(
+            request, hashed, hasher, traffic_class, deadline
+        ) or self._registration.refusal_code(expected)
         if refusal is not None:
             self._gate.limiter.release(traffic_class, None, monotonic())
             if refusal is ErrorCode.QUARANTINED:
                 return self._refuse_quarantined(hasher, log)
-            wait = 0.0 if refusal is ErrorCode.DEADLINE else RETRY_AFTER
+            wait = 0.0 if refusal is ErrorCode.DEADLINE else DEFAULT_RETRY_AFTER
             return self._refuse(refusal, wait, log, meant=expected, incarnation=self._registration.upstream)
         log.note(Event.REQUEST_ADMITTED, waited_ms=round(1000 * (monotonic() - started), 1), **self._gate.load())
         answer = self._pass_on(hashed, hasher, traffic_class, deadline, span, log)
@@ -240,7 +242,7 @@
         try:
             self._gate.bodies.fetch(request, deadline)
             if not hasher.is_complete and self._quarantine.has_head(hasher.head):
-                hashed.body.hold(deadline)
+                hashed.body.buffer_hashed_part(deadline)
             if not self._gate.wait_for_rate(deadline):
                 return ErrorCode.RATE_LIMITED
         except StopTimeout:
@@ -283,9 +285,9 @@
         work = Work(self._crashes, hasher, slot, request.body, deadline)
         try:
             pending = send_request(self._pool, self._application, request, headers, deadline)
-            tail = min(self._gate.limiter.tail(log.route), deadline - started)
+            tail = min(self._gate.limiter.tail_service_time(log.route), deadline - started)
             if not pending.wait(tail):
-                pending.note_late(started, self._events, self._registration.upstream)
+                pending.handle_late_answer(started, self._events, self._registration.upstream)
             response = pending.read()
         except ExchangeError as exc:
             if account is not None and exc.outcome != Outcome.NOT_RUN:
@@ -298,7 +300,7 @@
             return self._on_lost(lost, log)
         except BaseException:
             worked = monotonic() - started
-            if account is not None and worked >= self._gate.limiter.tail(log.route):
+            if account is not None and worked >= self._gate.limiter.tail_service_time(log.route):
                 # The caller gave up on a late answer, which would have taken even longer.
                 account.note_answer(False, worked)
             work.end_abandoned()
@@ -310,12 +312,12 @@
             work.end_abandoned()
             foreign = ExchangeError(ErrorCode.ANSWER_LOST, Outcome.UNKNOWN, "the application answered another request")
             return self._on_lost(foreign, log)
-        self._registration.note_answer(awake())
+        self._registration.note_answer(running_time())
         # A report by an earlier incarnation of the application doesn't apply to the registered one.
-        if not facts.is_elsewhere and advertised is self._registration.advertised:
+        if not facts.is_other_incarnation and advertised is self._registration.advertised:
             self._note_report(facts.report)
         if facts.was_refused:
-            return self._on_refused(response, work, facts.is_elsewhere, log)
+            return self._on_refused(response, work, facts.is_other_incarnation, log)
         if account is not None:
             account.note_answer(head.status >= 500, monotonic() - started)
         headers = public_headers(head.headers, self._dialect.answer_names)
@@ -365,7 +367,7 @@
         application.
         """
         if exc.outcome == Outcome.NOT_RUN:
-            wait = 0.0 if exc.code is ErrorCode.DEADLINE else RETRY_AFTER
+            wait = 0.0 if exc.code is ErrorCode.DEADLINE else DEFAULT_RETRY_AFTER
             return self._refuse(exc.code, wait, log, error=exc)
         self._metrics.count(Metric.UNKNOWN)
         self._events.emit(Event.ANSWER_LOST, request=log.request_id, error=exc)
@@ -375,7 +377,7 @@
         answer.headers += write_suspicions(suspect, self._quarantine.crashes(suspect))
         return answer
 
-    def _on_refused(self, response, work: Work, is_elsewhere: bool, log: RequestLog) -> Answer:
+    def _on_refused(self, response, work: Work, is_other_incarnation: bool, log: RequestLog) -> Answer:
         """Answer a request that the application refused and will not run."""
         try:
             response.read_all()
@@ -384,9 +386,9 @@
         finally:
             response.close()
             work.end_refused()
-        code = ErrorCode.NOT_HELD if is_elsewhere else ErrorCode.UPSTREAM_REFUSED
-        answer = self._refuse(code, RETRY_AFTER, log, status=response.message.status)
-        answer.headers.append((ARRIVED_HEADER, "1"))
+        code = ErrorCode.NOT_HELD if is_other_incarnation else ErrorCode.UPSTREAM_REFUSED
+        answer = self._refuse(code, DEFAULT_RETRY_AFTER, log, status=response.message.status)
+        answer.headers.append((REACHED_APPLICATION_HEADER, "1"))
         return answer
 
     def _make_headers(self, request: Request, remaining: float, span) -> list[tuple[str, str]]:
@@ -396,7 +398,7 @@
         headers += self._dialect.request_headers(
             left_ms,
             request.header(UPSTREAM_HEADER) or self._registration.upstream,
-            read_name(request.header(CALLER_HEADER)),
+            decode_name(request.header(CALLER_HEADER)),
             int(attempt) if attempt.isdigit() else 1,
         )
         if span.traceparent:
@@ -406,5 +408,5 @@
 
 def _read_monotonic_time(request: Request, name: str, started: float) -> float | None:
     """Return the monotonic time, in seconds, that a header states in milliseconds after `started`; None if absent."""
-    left_ms = read_int(request.header(name))
+    left_ms = parse_int(request.header(name))
     return None if left_ms is None else started + left_ms / 1000
--- a/packages/lanedock-daemon/lanedock_daemon/path/work.py
+++ b/packages/lanedock-daemon/lanedock_daemon/path/work.py
@@ -66,7 +66,7 @@
             return None
         if not hasher.is_complete:
             try:
-                self._body.finish(self._deadline)
+                self._body.discard_hashed_part(self._deadline)
             except (OSError, StopTimeout):
                 return None  # the rest of the body doesn't come in time, so the fingerprint isn't known
             self._crashes.report_suspect(self._run)
--- a/packages/lanedock-daemon/lanedock_daemon/path/wsgi.py
+++ b/packages/lanedock-daemon/lanedock_daemon/path/wsgi.py
@@ -6,7 +6,7 @@
 
 from gevent import pywsgi, socket
 
-from lanedock_daemon.agent.attest import ALIVE_PATH
+from lanedock_daemon.agent.reachability import ALIVE_PATH
 from lanedock_daemon.path.headers import HOP_HEADERS
 from lanedock_daemon.path.http import NEVER, Body, Request
 from lanedock_daemon.path.service import HttpService
--- a/packages/lanedock-daemon/lanedock_daemon/roles.py
+++ b/packages/lanedock-daemon/lanedock_daemon/roles.py
@@ -139,7 +139,7 @@
     dialect = interface.make_dialect()
     registration = _make_registration(settings)
     view = LocalView(settings.zone, settings.daemon.stall_limit_ms / 1000, registration, settings.name)
-    view.set_budgets(_make_budget_factory(settings, view))
+    view.set_budget_factory(_make_budget_factory(settings, view))
     agent = AgentService(settings, view, events, metrics)
     kernel.add(agent)
     requests = RequestLogger(events, settings.log_sample)
--- a/packages/lanedock-daemon/lanedock_daemon/run.py
+++ b/packages/lanedock-daemon/lanedock_daemon/run.py
@@ -47,7 +47,7 @@
 def run_process(
     path: str,
     initialize: bool = False,
-    is_made: bool = False,
+    is_generated: bool = False,
     interface: Interface | None = None,
     early: EarlySignals | None = None,
 ) -> int:
@@ -60,7 +60,7 @@
     initialize : bool
         Control instances only, once, when a mesh is set up: allow an empty data folder to
         vote from the start.
-    is_made : bool
+    is_generated : bool
         Whether a program generates the settings: the schema is then loaded only if they are
         invalid.
     interface : Interface, optional
@@ -77,7 +77,7 @@
     # Taken before the file is read, so that a change during the read is noticed.
     stamp = _read_stamp(path)
     try:
-        settings = load_settings(path, is_made)
+        settings = load_settings(path, is_generated)
     except FindingsError as exc:
         for finding in exc.findings:
             print(finding, file=sys.stderr)
@@ -89,7 +89,7 @@
     tracer = _make_tracer(settings)
     interface = interface or OwnInterface()
     kernel = _make_kernel(settings, initialize, events, metrics, tracer, interface)
-    reloader = _Reloader(kernel, path, stamp, settings, events, is_made)
+    reloader = _Reloader(kernel, path, stamp, settings, events, is_generated)
     if text is not None:
         _add_metrics(kernel, settings, text, events)
     try:
@@ -260,12 +260,14 @@
     settings : Settings
         The settings that the process started with.
     events : EventLogger
-    is_made : bool
+    is_generated : bool
         Whether a program generates the file.
     """
 
-    def __init__(self, kernel: Kernel, path: str, stamp: tuple, settings: Settings, events: EventLogger, is_made: bool):
-        self._is_made = is_made
+    def __init__(
+        self, kernel: Kernel, path: str, stamp: tuple, settings: Settings, events: EventLogger, is_generated: bool
+    ):
+        self._is_generated = is_generated
         self._kernel = kernel
         self._path = path
         self._settings = settings
@@ -283,7 +285,7 @@
         """Read the settings again; if they have findings, keep the current ones."""
         self._stamp = _read_stamp(self._path)
         try:
-            new = load_settings(self._path, self._is_made)
+            new = load_settings(self._path, self._is_generated)
         except FindingsError as exc:
             self._events.emit(Event.RELOAD_REFUSED, error=exc)
             return
--- a/packages/lanedock-daemon/lanedock_daemon/session_registry.py
+++ b/packages/lanedock-daemon/lanedock_daemon/session_registry.py
@@ -38,11 +38,13 @@
         return f"<{type(self).__name__} sessions={len(self._sessions)} {self.distributor!r}>"
 
     @abstractmethod
-    def _take(self, session: Session, message: messages.DaemonMessage) -> None:
+    def _apply_message(self, session: Session, message: messages.DaemonMessage) -> None:
         """Process the parts of a daemon's message other than its state and its suspicions."""
 
     @abstractmethod
-    def arrive(self, session: Session, message: messages.DaemonMessage, endpoints: messages.EndpointUpdate) -> None:
+    def admit_or_refuse(
+        self, session: Session, message: messages.DaemonMessage, endpoints: messages.EndpointUpdate
+    ) -> None:
         """Admit a daemon and send it all endpoints, or redirect it to another source."""
 
     def greet(
@@ -69,7 +71,7 @@
             self._send_heartbeat(session, accepted, staleness)
             session.close()
             return False
-        self.arrive(session, message, make_endpoints())
+        self.admit_or_refuse(session, message, make_endpoints())
         if session.child is None:
             return False
         # At once, so that a daemon whose source has no leader can try the next source.
@@ -85,7 +87,7 @@
         session.heard_at = now
         session.child = self.distributor.connect(message.state)
         self._sessions[session] = None
-        suspicions = self._quarantine.whole_news(now)
+        suspicions = self._quarantine.all_suspicions(now)
         if suspicions:
             self._send(session, [_make_suspicions(suspicions)])
         if self._plan.revision:
@@ -95,7 +97,7 @@
         first.endpoints.CopyFrom(endpoints)
         self._send(session, [first])
         self._quarantine.merge(message.suspicions, now)
-        self._take(session, message)
+        self._apply_message(session, message)
 
     def receive(self, session: Session, message: messages.DaemonMessage) -> None:
         """Process a message from an admitted daemon."""
@@ -106,7 +108,7 @@
         if message.HasField("state"):
             self.distributor.update(session.child, message.state)
         self._quarantine.merge(message.suspicions, now)
-        self._take(session, message)
+        self._apply_message(session, message)
 
     def leave(self, session: Session) -> None:
         """Remove a session that has ended."""
@@ -122,10 +124,10 @@
 
     def flush(self) -> None:
         """Send every daemon the suspicions and versions that it lacks."""
-        changed = self._quarantine.take_news(self._suspicions, monotonic())
+        changed = self._quarantine.take_changes(self._suspicions, monotonic())
         batch = [_make_suspicions(changed)] if changed else []
         for session in self._sessions:
-            self._send(session, [*batch, *self.distributor.due(session.child)])
+            self._send(session, [*batch, *self.distributor.due_messages(session.child)])
 
     def set_canary_plan(self, plan: messages.CanaryPlan) -> None:
         """Send a newer canary plan to all daemons."""
@@ -187,7 +189,7 @@
             message = messages.ControlMessage()
             message.floor.token = token
             message.floor.version = accepted
-            self._send(session, [*self.distributor.due(session.child), message])
+            self._send(session, [*self.distributor.due_messages(session.child), message])
 
     def _send(self, session: Session, batch: list[messages.ControlMessage]) -> None:
         if batch:
--- a/packages/lanedock-daemon/lanedock_daemon/stops.py
+++ b/packages/lanedock-daemon/lanedock_daemon/stops.py
@@ -12,7 +12,7 @@
 # they take two or three seconds to learn that they have to use another instance.
 LINGER_FRACTION = 0.5
 # Seconds before the end of the grace time at which every request in progress gets its final
-# answer: 0.2 s for writing the answers (ANSWER_TIME), and 0.6 s for delays and for ending the
+# answer: 0.2 s for writing the answers (FINAL_ANSWER_TIME), and 0.6 s for delays and for ending the
 # other services, the log and the interpreter, which is slow on a busy instance. Applications
 # have until then to answer.
 ANSWER_MARGIN = 0.8
--- a/packages/lanedock-daemon/lanedock_daemon/tests/stopping.py
+++ b/packages/lanedock-daemon/lanedock_daemon/tests/stopping.py
@@ -11,7 +11,7 @@
 from lanedock.telemetry import EventLogger, NullMetrics, NullTracer
 from lanedock.wire import messages
 from lanedock_daemon.framed import FramedTransport
-from lanedock_daemon.path.http import ASK_LIMIT
+from lanedock_daemon.path.http import MAX_UNSOLICITED_BODY_BYTES
 from lanedock_daemon.path.tests.chain import HOST, Application, Gate, Upstream, make_value, put_in_force, wait_until
 from lanedock_daemon.roles import add_daemon
 
@@ -37,7 +37,7 @@
 LONG = 20.0
 # Lengths of bodies, in bytes. The small one is sent with its head, the longer ones on request
 # of the other daemon.
-SMALL_BODY = ASK_LIMIT
+SMALL_BODY = MAX_UNSOLICITED_BODY_BYTES
 SHORT_BODY = 60_000
 LONG_BODY = 100_000
 
@@ -109,7 +109,7 @@
         update = messages.EndpointUpdate(whole=True)
         port = self.upstream.server.port
         update.changed.add(instance="u0", service="s", zone="z", host=HOST, port=port, incarnation=1)
-        self.view.take_endpoints(update)
+        self.view.apply_endpoints(update)
         self.stopping: gevent.Greenlet | None = None
 
     def _write(self, folder, is_entry: bool, settings: dict):
--- a/packages/lanedock-daemon/lanedock_daemon/tests/test_grpc.py
+++ b/packages/lanedock-daemon/lanedock_daemon/tests/test_grpc.py
@@ -16,7 +16,7 @@
 
 from lanedock.kernel.loop import LoopService
 from lanedock.settings import Address
-from lanedock_daemon.control import peers
+from lanedock_daemon.control import grpc_links
 from lanedock_daemon.grpc_transport import GrpcTransport
 from lanedock_daemon.tests.links import (
     SLOW_RATE,
@@ -90,13 +90,13 @@
 
 @pytest.fixture
 def proxied_link(monkeypatch, transport):
-    monkeypatch.setattr(peers, "SILENCE_LIMIT", 0.2)
+    monkeypatch.setattr(grpc_links, "SILENCE_LIMIT", 0.2)
     yield from _make_link(transport)
 
 
 @pytest.fixture
 def slow_link(monkeypatch, transport):
-    monkeypatch.setattr(peers, "SILENCE_LIMIT", SLOW_SILENCE_LIMIT)
+    monkeypatch.setattr(grpc_links, "SILENCE_LIMIT", SLOW_SILENCE_LIMIT)
     yield from _make_link(transport, SLOW_RATE)
 
 
--- a/packages/lanedock-daemon/lanedock_daemon/transport.py
+++ b/packages/lanedock-daemon/lanedock_daemon/transport.py
@@ -115,7 +115,7 @@
 
     Attributes
     ----------
-    child : Child or None
+    child : Subscriber or None
         Set by the task that owns the session.
     heard_at : float
         Monotonic time, in seconds, at which the daemon last sent something.
--- a/packages/lanedock/lanedock/canary/pools.py
+++ b/packages/lanedock/lanedock/canary/pools.py
@@ -127,12 +127,12 @@
         rule = self._rules.get(service)
         return rule if rule is not None and rule.canary else None
 
-    def is_whole(self, service: str) -> bool:
+    def has_full_share(self, service: str) -> bool:
         """Return whether all requests of a service go to its canary."""
         rule = self.running(service)
         return rule is not None and rule.share_permille >= FULL_SHARE
 
-    def take(self, service: str) -> bool:
+    def assign_request(self, service: str) -> bool:
         """Return whether the next request of a service goes to its canary, and count it."""
         rule = self._rules.get(service)
         if rule is None or not rule.share_permille:
--- a/packages/lanedock/lanedock/canary/tests/test_pools.py
+++ b/packages/lanedock/lanedock/canary/tests/test_pools.py
@@ -77,7 +77,7 @@
     daemons = [CanarySplit(rng) for _ in range(92)]
     for daemon in daemons:
         daemon.follow(plan)
-    taken = sum(daemon.take("s") for daemon in daemons for _ in range(5))
+    taken = sum(daemon.assign_request("s") for daemon in daemons for _ in range(5))
     # The exact share is 23 of 460; if each daemon rounded up, it would be 92.
     assert 13 <= taken <= 33
 
@@ -86,10 +86,10 @@
     split = CanarySplit(random.Random(1))
     split.follow(messages.CanaryPlan(revision=5, rules=[_rule(canary="", withheld=("v2",), share=0)]))
     assert split.follow(messages.CanaryPlan(revision=4, rules=[_rule(share=1000)])) == set()
-    assert not split.take("s")
+    assert not split.assign_request("s")
     assert split.rule("s").canary == ""
 
 
 def test_without_a_canary_no_request_goes_to_one():
     split = CanarySplit(random.Random(1))
-    assert not any(split.take("s") for _ in range(100))
+    assert not any(split.assign_request("s") for _ in range(100))
--- a/packages/lanedock/lanedock/clock.py
+++ b/packages/lanedock/lanedock/clock.py
@@ -11,7 +11,7 @@
 import time
 from functools import partial
 
-__all__ = ["awake", "monotonic"]
+__all__ = ["monotonic", "running_time"]
 
 
 def _choose_clock_id() -> int:
@@ -28,7 +28,7 @@
 monotonic = partial(time.clock_gettime, _choose_clock_id())
 
 
-def awake() -> float:
+def running_time() -> float:
     """Return the time that this instance has been running, in seconds, without suspension.
 
     Used for whatever is suspended together with this process, such as the application on the
--- a/packages/lanedock/lanedock/config/__init__.py
+++ b/packages/lanedock/lanedock/config/__init__.py
@@ -3,12 +3,12 @@
 
 from lanedock.config.core import CallerLimits, MeshConfig, Route, Service, Split, TrafficClass, Version
 from lanedock.config.diff import Difference, compare
-from lanedock.config.load import check_document, check_value, decode_config, load_config
+from lanedock.config.load import check_document, check_generated_config, decode_config, load_config
 from lanedock.config.tree import (
     MESH_GROUP,
     ConfigTree,
+    find_needed_groups,
     is_service_group,
-    needed_groups,
     pack_groups,
     split_config,
     unpack_groups,
@@ -26,12 +26,12 @@
     "TrafficClass",
     "Version",
     "check_document",
-    "check_value",
+    "check_generated_config",
     "compare",
     "decode_config",
+    "find_needed_groups",
     "is_service_group",
     "load_config",
-    "needed_groups",
     "pack_groups",
     "split_config",
     "unpack_groups",
--- a/packages/lanedock/lanedock/config/load.py
+++ b/packages/lanedock/lanedock/config/load.py
@@ -15,7 +15,7 @@
 from lanedock.errors import ErrorCode
 from lanedock.findings import Document, Finding, FindingsError, Place, read_document
 
-__all__ = ["check_document", "check_value", "decode_config", "load_config"]
+__all__ = ["check_document", "check_generated_config", "decode_config", "load_config"]
 
 SHARE_TOLERANCE = 1e-9
 # Same limit as in the schema: every JSON reader represents integers up to it exactly (RFC 8259, section 6).
@@ -68,7 +68,7 @@
     return split_config(document.value)
 
 
-def check_value(value: dict, source: str) -> ConfigTree:
+def check_generated_config(value: dict, source: str) -> ConfigTree:
     """Validate a version whose types are already known to be correct.
 
     The schema is not checked: the schema library takes milliseconds for each
@@ -103,7 +103,7 @@
     Parameters
     ----------
     tree : ConfigTree
-    base : Held, optional
+    base : HeldVersion, optional
         A version decoded before, with attributes `tree` and `config`. Routes of
         groups that are identical in both versions are reused, so a change of one
         route of 5,560 is decoded and checked in 2 ms instead of 55 ms.
--- a/packages/lanedock/lanedock/config/tests/test_load.py
+++ b/packages/lanedock/lanedock/config/tests/test_load.py
@@ -8,7 +8,15 @@
 from hypothesis import given, settings
 from hypothesis import strategies as st
 
-from lanedock.config import ConfigTree, check_document, check_value, compare, decode_config, needed_groups, split_config
+from lanedock.config import (
+    ConfigTree,
+    check_document,
+    check_generated_config,
+    compare,
+    decode_config,
+    find_needed_groups,
+    split_config,
+)
 from lanedock.config.tree import MAX_GROUP_ROUTES
 from lanedock.errors import ErrorCode, LanedockError
 from lanedock.findings import Document, FindingsError, read_text
@@ -91,13 +99,13 @@
 )
 def test_check_value_finds_errors_without_the_schema(path, new, place):
     with pytest.raises(FindingsError) as caught:
-        check_value(_change_value(path, new), "f")
+        check_generated_config(_change_value(path, new), "f")
     assert [finding.place.path for finding in caught.value.findings] == [place]
 
 
 @pytest.mark.parametrize("name", ["řeka", " r 1/2%", "R:" + 511 * "ř"])
 def test_check_value_accepts_names_with_any_characters_but_controls(name):
-    assert check_value(_change_value("routes/0/name", name), "f").value()["routes"][0]["name"] == name
+    assert check_generated_config(_change_value("routes/0/name", name), "f").value()["routes"][0]["name"] == name
 
 
 def test_all_findings_are_reported_together():
@@ -117,13 +125,13 @@
 
 def test_slice_is_verified_against_the_digest_of_the_whole_version():
     whole = split_config(VALUE)
-    names = needed_groups(whole, False, "one")
+    names = find_needed_groups(whole, False, "one")
     assert names == {"", "one", "two"}
-    tree = ConfigTree.from_push(whole.whole_push(names), [])
+    tree = ConfigTree.from_push(whole.make_full_push(names), [])
     assert tree.version == whole.version
     assert set(decode_config(tree).services) == {"one", "two"}
-    forged = whole.whole_push(names)
-    forged.groups = split_config(_change_value("routes/0/path", "/uno")).whole_push(names).groups
+    forged = whole.make_full_push(names)
+    forged.groups = split_config(_change_value("routes/0/path", "/uno")).make_full_push(names).groups
     with pytest.raises(LanedockError) as caught:
         ConfigTree.from_push(forged, [])
     assert caught.value.code is ErrorCode.DIGEST_MISMATCH
@@ -143,8 +151,8 @@
     assert len(sizes) < 3 * 1000 / MAX_GROUP_ROUTES
     assert whole.value()["routes"] == sorted(_make_routes(range(1000)), key=lambda route: route["name"])
     # The daemon of the service needs all of its route groups; that of another service needs none.
-    assert needed_groups(whole, False, "one") == set(whole.contents) - {"three"}
-    assert needed_groups(whole, False, "two") == {"", "two"}
+    assert find_needed_groups(whole, False, "one") == set(whole.contents) - {"three"}
+    assert find_needed_groups(whole, False, "two") == {"", "two"}
 
 
 def test_change_of_one_route_changes_one_group_and_gives_a_small_delta():
@@ -153,7 +161,7 @@
     after = split_config({**VALUE, "version": 4, "routes": [{**routes[0], "path": "/else"}, *routes[1:]]})
     (changed,), dropped = (set(part) for part in after.compare_contents(before))
     assert changed.startswith("one") and not dropped
-    push = after.delta_push(set(after.digests), before, set(before.digests))
+    push = after.make_delta_push(set(after.digests), before, set(before.digests))
     assert len(push.SerializeToString()) < 1024
     assert len(push.SerializeToString()) < len(before.pack()) / 20
 
@@ -197,7 +205,7 @@
         services = [{**service, "slots": slots} for service in VALUE["services"]]
         tree = split_config({**VALUE, "version": number, "services": services, "routes": list(routes.values())})
         if decoded is not None:
-            push = tree.delta_push(set(tree.digests), decoded.tree, set(decoded.tree.digests))
+            push = tree.make_delta_push(set(tree.digests), decoded.tree, set(decoded.tree.digests))
             tree = ConfigTree.from_push(push, [decoded.tree])
         whole = decode_config(tree)
         decoded = _Decoded(tree, decoded)
@@ -265,9 +273,9 @@
         trees.append(split_config({**VALUE, "version": number, "services": services, "routes": []}))
     base, tree = trees
     service = data.draw(st.sampled_from("abcd"))
-    held = base.slice(needed_groups(base, False, service))
-    needed = needed_groups(tree, False, service)
-    push = tree.delta_push(needed, base, set(held.contents))
+    held = base.slice(find_needed_groups(base, False, service))
+    needed = find_needed_groups(tree, False, service)
+    push = tree.make_delta_push(needed, base, set(held.contents))
     received = ConfigTree.from_push(push, [held])
     assert (received.version, set(received.contents)) == (tree.version, needed)
     with pytest.raises(LanedockError):
--- a/packages/lanedock/lanedock/config/tree.py
+++ b/packages/lanedock/lanedock/config/tree.py
@@ -31,8 +31,8 @@
 __all__ = [
     "MESH_GROUP",
     "ConfigTree",
+    "find_needed_groups",
     "is_service_group",
-    "needed_groups",
     "pack_groups",
     "split_config",
     "unpack_groups",
@@ -138,13 +138,13 @@
         digests = {name: hashlib.sha256(content).digest() for name, content in contents.items()}
         return cls(number, digests, contents)
 
-    def whole_push(self, names: set[str]) -> messages.ConfigPush:
+    def make_full_push(self, names: set[str]) -> messages.ConfigPush:
         """Make a message with the content of the named groups and the digests of all others."""
         push = messages.ConfigPush(version=self.number, digest=self.version.digest)
         push.groups = pack_groups(self._make_groups(self.digests, names))
         return push
 
-    def delta_push(self, names: set[str], base: "ConfigTree", base_names: set[str]) -> messages.ConfigPush:
+    def make_delta_push(self, names: set[str], base: "ConfigTree", base_names: set[str]) -> messages.ConfigPush:
         """Make a message with the delta from a base to this version.
 
         Parameters
@@ -295,7 +295,7 @@
     return _ENCODER.encode(value).encode()
 
 
-def needed_groups(tree: ConfigTree, is_entry: bool, service: str) -> set[str]:
+def find_needed_groups(tree: ConfigTree, is_entry: bool, service: str) -> set[str]:
     """Return the names of the groups that a daemon needs.
 
     Parameters
--- a/packages/lanedock/lanedock/consensus/joining.py
+++ b/packages/lanedock/lanedock/consensus/admission.py
@@ -46,7 +46,7 @@
     def _send_request(self, receiver: str, joiner: str) -> None:
         message = self._state.message(receiver)
         message.join_request.joiner = joiner
-        self._state.ready.late.append(message)
+        self._state.ready.messages_after_sync.append(message)
 
     def forward_request(self, joiner: str, sender: str) -> None:
         """Forward a request that came from the joiner itself to the leader.
@@ -77,7 +77,7 @@
         self._challenge = (joiner, token, lease_holder)
         message = self._state.message(joiner)
         message.read_index_request.token = token
-        self._state.ready.late.append(message)
+        self._state.ready.messages_after_sync.append(message)
 
     def accept_challenge_reply(self, sender: str, token: int, now: float) -> bool:
         """Return whether a reply answers the pending challenge; if so, end the lease.
--- a/packages/lanedock/lanedock/consensus/candidacy.py
+++ b/packages/lanedock/lanedock/consensus/candidacy.py
@@ -64,7 +64,7 @@
         message.vote_request.last_index = state.log.last_index
         message.vote_request.last_term = state.log.last_term
         message.vote_request.trial = trial
-        state.ready.late.append(message)
+        state.ready.messages_after_sync.append(message)
 
     def count_vote(self, voter: str, trial: bool, now: float) -> bool:
         """Count a granted vote; return whether the election is won.
@@ -108,4 +108,4 @@
             reply.term = message.term
         reply.vote_reply.granted = granted
         reply.vote_reply.trial = trial
-        self._state.ready.late.append(reply)
+        self._state.ready.messages_after_sync.append(reply)
--- a/packages/lanedock/lanedock/consensus/core.py
+++ b/packages/lanedock/lanedock/consensus/core.py
@@ -91,14 +91,14 @@
 class Ready:
     """Work that the driver has to do after each call of the core.
 
-    The order is part of the protocol: `early` messages may be sent at once;
+    The order is part of the protocol: `messages_before_sync` messages may be sent at once;
     `snapshot`, `entries` and the hard state are synced to disk;
-    `RaftReplica.persisted` is called; only then are `late` messages sent and
+    `RaftReplica.mark_persisted` is called; only then are `messages_after_sync` messages sent and
     `committed` entries applied.
 
     Attributes
     ----------
-    early, late : list of PeerMessage
+    messages_before_sync, messages_after_sync : list of PeerMessage
     entries : list of LogEntry
         Entries to append. An entry whose index the stored log already holds
         replaces that entry and all later ones.
@@ -115,11 +115,20 @@
         Tokens of reads that the driver has to request again.
     """
 
-    __slots__ = ("committed", "early", "entries", "failed_reads", "hard_state_changed", "late", "reads", "snapshot")
+    __slots__ = (
+        "committed",
+        "entries",
+        "failed_reads",
+        "hard_state_changed",
+        "messages_after_sync",
+        "messages_before_sync",
+        "reads",
+        "snapshot",
+    )
 
     def __init__(self):
-        self.early: list[messages.PeerMessage] = []
-        self.late: list[messages.PeerMessage] = []
+        self.messages_before_sync: list[messages.PeerMessage] = []
+        self.messages_after_sync: list[messages.PeerMessage] = []
         self.entries: list[messages.LogEntry] = []
         self.hard_state_changed = False
         self.snapshot: LogSnapshot | None = None
--- a/packages/lanedock/lanedock/consensus/following.py
+++ b/packages/lanedock/lanedock/consensus/follower.py
@@ -18,7 +18,7 @@
     """
     reply = state.message(message.sender)
     reply.append_reply.probe = request.probe
-    state.ready.late.append(reply)
+    state.ready.messages_after_sync.append(reply)
     previous = request.previous_index
     if previous > state.log.last_index:
         reply.append_reply.match_index = state.log.last_index
@@ -67,4 +67,4 @@
         state.ready.entries = []
         state.ready.snapshot = snapshot
     reply.append_reply.match_index = state.commit_index
-    state.ready.late.append(reply)
+    state.ready.messages_after_sync.append(reply)
--- a/packages/lanedock/lanedock/consensus/replica.py
+++ b/packages/lanedock/lanedock/consensus/replica.py
@@ -13,11 +13,11 @@
 
 from random import Random
 
+from lanedock.consensus.admission import Joining
 from lanedock.consensus.candidacy import Candidacy
 from lanedock.consensus.core import Ready, ReplicaRole, Timing
 from lanedock.consensus.election import ElectionState
-from lanedock.consensus.following import accept_entries, install_snapshot
-from lanedock.consensus.joining import Joining
+from lanedock.consensus.follower import accept_entries, install_snapshot
 from lanedock.consensus.log import LogSnapshot, RaftLog
 from lanedock.consensus.replacement import MembershipChanges
 from lanedock.consensus.replication import LogReplication
@@ -151,7 +151,7 @@
         """
         return self._replication is not None and applied >= self._replication.leadership.term_start
 
-    def silence(self, now: float) -> float:
+    def leader_silence(self, now: float) -> float:
         """Return the time, in seconds, since a leader was last known; 0 while this replica leads.
 
         The time counts from the last message of a leader, or from the end of this
@@ -178,7 +178,7 @@
         state.ready = Ready()
         return ready
 
-    def persisted(self, index: int, now: float) -> None:
+    def mark_persisted(self, index: int, now: float) -> None:
         """Record that all entries up to `index` are synced to disk."""
         self._state.persisted = min(index, self.log.last_index)
         if self.role is ReplicaRole.LEADER and self._replication.advance_commit(now):
@@ -222,7 +222,7 @@
             state.reads.forward(token)
             message = state.message(self.leader)
             message.read_index_request.token = token
-            state.ready.late.append(message)
+            state.ready.messages_after_sync.append(message)
         else:
             state.ready.failed_reads.append(token)
 
@@ -271,7 +271,7 @@
         if body in ("append_request", "snapshot_request"):
             reply = self._state.message(message.sender)
             reply.append_reply.accepted = False
-            self._state.ready.late.append(reply)
+            self._state.ready.messages_after_sync.append(reply)
         elif body == "vote_request":
             self._candidacy.send_reply(message, False, message.vote_request.trial)
 
--- a/packages/lanedock/lanedock/consensus/replication.py
+++ b/packages/lanedock/lanedock/consensus/replication.py
@@ -80,7 +80,7 @@
         # Assumes that the entries arrive. If they do not, the follower rejects the next
         # heartbeat, and its reply resets this index.
         progress.next_index += len(entries)
-        state.ready.early.append(message)
+        state.ready.messages_before_sync.append(message)
 
     def _send_snapshot(self, peer: str) -> None:
         state = self._state
@@ -93,7 +93,7 @@
         request.membership.CopyFrom(snapshot.membership)
         request.probe = self.leadership.probe
         self.leadership.progress_of(peer, state.log.last_index).next_index = snapshot.index + 1
-        state.ready.early.append(message)
+        state.ready.messages_before_sync.append(message)
 
     def handle_reply(self, sender: str, reply, now: float) -> bool:
         """Record a follower's reply and send the entries that it still lacks.
--- a/packages/lanedock/lanedock/consensus/state.py
+++ b/packages/lanedock/lanedock/consensus/state.py
@@ -90,7 +90,7 @@
             message.read_index_reply.token = token
             message.read_index_reply.index = index
             message.read_index_reply.confirmed = confirmed
-            self.ready.late.append(message)
+            self.ready.messages_after_sync.append(message)
         elif confirmed:
             self.ready.reads.append((token, index))
         else:
--- a/packages/lanedock/lanedock/consensus/storage.py
+++ b/packages/lanedock/lanedock/consensus/storage.py
@@ -63,19 +63,19 @@
     ----------
     hard_state : HardState
     log : RaftLog
-    cut_bytes : int
+    truncated_bytes : int
         Length, in bytes, of a torn tail that was truncated.
     """
 
-    __slots__ = ("cut_bytes", "hard_state", "log")
+    __slots__ = ("hard_state", "log", "truncated_bytes")
 
-    def __init__(self, hard_state: HardState, log: RaftLog, cut_bytes: int = 0):
+    def __init__(self, hard_state: HardState, log: RaftLog, truncated_bytes: int = 0):
         self.hard_state = hard_state
         self.log = log
-        self.cut_bytes = cut_bytes
+        self.truncated_bytes = truncated_bytes
 
     def __repr__(self) -> str:
-        return f"<Restored {self.hard_state!r} {self.log!r} cut={self.cut_bytes}>"
+        return f"<Restored {self.hard_state!r} {self.log!r} truncated={self.truncated_bytes}>"
 
 
 class LogStorage(ABC):
@@ -193,7 +193,7 @@
             self._file.truncate(end)
             self._run_write(lambda: self._sync(self._file.fileno()))
         restored = _replay(records)
-        restored.cut_bytes = len(data) - end
+        restored.truncated_bytes = len(data) - end
         return restored
 
     def _read_log(self) -> bytes:
--- a/packages/lanedock/lanedock/consensus/tests/replicas.py
+++ b/packages/lanedock/lanedock/consensus/tests/replicas.py
@@ -43,19 +43,19 @@
         """Process the core's pending work; a scheduled crash happens before the disk is synced."""
         while self.replica is not None:
             ready = self.replica.take_ready()
-            self.cluster.send(ready.early)
+            self.cluster.send(ready.messages_before_sync)
             if ready.must_sync():
                 if self.cluster.is_crash_due(self):
                     return
                 self._sync(ready)
-                self.replica.persisted(self.replica.log.last_index, self.cluster.now)
-            self.cluster.send(ready.late)
+                self.replica.mark_persisted(self.replica.log.last_index, self.cluster.now)
+            self.cluster.send(ready.messages_after_sync)
             if ready.snapshot is not None:
                 self.applied = _decode(ready.snapshot.state)
             for entry in ready.committed:
                 self.applied.append((entry.index, entry.payload))
             self.cluster.record_reads(self, ready.reads)
-            if not (ready.early or ready.late or ready.committed or ready.must_sync()):
+            if not (ready.messages_before_sync or ready.messages_after_sync or ready.committed or ready.must_sync()):
                 return
 
     def _sync(self, ready) -> None:
--- a/packages/lanedock/lanedock/consensus/tests/test_joining.py
+++ b/packages/lanedock/lanedock/consensus/tests/test_admission.py
@@ -13,7 +13,7 @@
 
 
 def _sent_join_requests(replica: RaftReplica) -> list[tuple[str, str]]:
-    return [(message.receiver, message.join_request.joiner) for message in replica.take_ready().late]
+    return [(message.receiver, message.join_request.joiner) for message in replica.take_ready().messages_after_sync]
 
 
 def test_a_non_voter_sends_admission_requests_to_its_contacts_on_the_first_tick():
--- a/packages/lanedock/lanedock/consensus/tests/test_replacement.py
+++ b/packages/lanedock/lanedock/consensus/tests/test_replacement.py
@@ -46,9 +46,9 @@
                 continue
             ready = replica.take_ready()
             if ready.must_sync():
-                replica.persisted(replica.log.last_index, self.now)
+                replica.mark_persisted(replica.log.last_index, self.now)
             self.committed[name] += [entry.payload for entry in ready.committed if entry.payload]
-            for message in [*ready.early, *ready.late]:
+            for message in [*ready.messages_before_sync, *ready.messages_after_sync]:
                 moved = True
                 self._deliver(message)
         return moved
--- a/packages/lanedock/lanedock/consensus/tests/test_replica.py
+++ b/packages/lanedock/lanedock/consensus/tests/test_replica.py
@@ -60,21 +60,21 @@
 
 def test_silence_counts_from_the_last_message_or_lease_of_a_leader():
     cluster = Cluster(NAMES, seed=2)
-    assert all(node.replica.silence(cluster.now) == NEVER_LED for node in cluster.nodes.values())
+    assert all(node.replica.leader_silence(cluster.now) == NEVER_LED for node in cluster.nodes.values())
     old = _elect(cluster)
     # An isolated leader counts from the end of its lease, not from its election.
     cluster.run(60)
     cluster.isolate(old.id[0])
     cluster.run(1)
-    assert old.replica.silence(cluster.now) < 1.0
+    assert old.replica.leader_silence(cluster.now) < 1.0
     # Votes and candidacies of replicas without a quorum are no evidence of a leader.
     follower = next(node for node in cluster.nodes.values() if node is not old)
     cluster.run(5)
-    assert follower.replica.silence(cluster.now) < 1.0
+    assert follower.replica.leader_silence(cluster.now) < 1.0
     for node in cluster.nodes.values():
         cluster.isolate(node.id[0])
     cluster.run(30)
-    assert all(29.0 < node.replica.silence(cluster.now) < 40.0 for node in cluster.nodes.values())
+    assert all(29.0 < node.replica.leader_silence(cluster.now) < 40.0 for node in cluster.nodes.values())
 
 
 def test_the_former_leader_is_reelected_without_delay_after_all_replicas_crash():
--- a/packages/lanedock/lanedock/consensus/tests/test_storage.py
+++ b/packages/lanedock/lanedock/consensus/tests/test_storage.py
@@ -51,7 +51,7 @@
     with open(folder / "log", "ab") as file:
         file.write(b"\0\0\0\x20\1\2")
     storage, restored = _restore(folder)
-    assert restored.cut_bytes == 6
+    assert restored.truncated_bytes == 6
     storage.save(None, [messages.LogEntry(term=3, index=4)])
     assert _restore(folder)[1].log.last_index == 4
 
--- a/packages/lanedock/lanedock/findings/fields.py
+++ b/packages/lanedock/lanedock/findings/fields.py
@@ -69,7 +69,7 @@
         """Return whether a field is present and not empty."""
         return bool(self._value.get(name))
 
-    def finish(self) -> None:
+    def raise_findings(self) -> None:
         """Raise the collected findings, if any.
 
         Raises
@@ -85,14 +85,14 @@
         value = self._get(name, default)
         return value if _is_text(value) else self._refuse(name, "a string", "")
 
-    def word(self, name: str, known: dict, default: object = _REQUIRED) -> object:
+    def choice(self, name: str, known: dict, default: object = _REQUIRED) -> object:
         """Return the value to which `known` maps the field's string."""
         value = self._get(name, default)
         if isinstance(value, str) and value in known:
             return known[value]
         return self._refuse(name, "one of " + ", ".join(known), next(iter(known.values())))
 
-    def constant(self, name: str, value: object) -> None:
+    def expect_constant(self, name: str, value: object) -> None:
         """Check that a field is missing or has the one value that is accepted."""
         if self._value.get(name, value) != value:
             self._refuse(name, _abbreviate(value), None)
@@ -112,16 +112,16 @@
         """Return a reader of a nested object."""
         return type(self)(self._source, self._get(name), f"{self._path}/{name}", self.findings)
 
-    def objects(self, name: str, is_apart: bool = False) -> list["FieldReader"]:
+    def objects(self, name: str, has_own_findings: bool = False) -> list["FieldReader"]:
         """Return a reader for each object in a list.
 
-        With `is_apart`, each reader collects its findings in a list of its own.
+        With `has_own_findings`, each reader collects its findings in a list of its own.
         """
         value = self._get(name)
         if not isinstance(value, list):
             return self._refuse(name, "a list", [])
         return [
-            type(self)(self._source, item, f"{self._path}/{name}/{number}", [] if is_apart else self.findings)
+            type(self)(self._source, item, f"{self._path}/{name}/{number}", [] if has_own_findings else self.findings)
             for number, item in enumerate(value)
         ]
 
--- a/packages/lanedock/lanedock/kernel/stop_plan.py
+++ b/packages/lanedock/lanedock/kernel/stop_plan.py
@@ -6,7 +6,7 @@
 # Time after the deadline, in seconds, in which final answers are written and streamed
 # answers may still end; connections are closed after it. A hundred final answers take
 # 0.04 s on one CPU core.
-ANSWER_TIME = 0.2
+FINAL_ANSWER_TIME = 0.2
 # Multiple of its expected duration that work beginning after the linger time must have left
 # until the deadline. The few requests that take longer than expected would otherwise get
 # their final answer while they still run.
@@ -52,7 +52,7 @@
     @property
     def cut_at(self) -> float:
         """Monotonic time at which connections are closed, even with answers in progress."""
-        return self.deadline + ANSWER_TIME
+        return self.deadline + FINAL_ANSWER_TIME
 
     def begin(self, now: float) -> None:
         """Begin the shutdown and set its deadline; later calls have no effect."""
@@ -61,14 +61,14 @@
 
     def allows(self, needed: float, now: float) -> bool:
         """Return whether work that takes `needed` seconds is expected to end by the deadline."""
-        is_after_linger = self.is_begun and not self.linger_left(now)
+        is_after_linger = self.is_begun and not self.remaining_linger(now)
         return now + needed * (POST_LINGER_MARGIN if is_after_linger else 1.0) <= self.deadline
 
     def start_by(self, needed: float) -> float | None:
         """Return the latest start time of work that takes `needed` seconds; None before the shutdown."""
         return self.deadline - needed if self.is_begun else None
 
-    def linger_left(self, now: float) -> float:
+    def remaining_linger(self, now: float) -> float:
         """Return the remaining time, in seconds, for which callers are served; 0 before the shutdown."""
         if not self.is_begun:
             return 0.0
--- a/packages/lanedock/lanedock/kernel/tests/test_stop_plan.py
+++ b/packages/lanedock/lanedock/kernel/tests/test_stop_plan.py
@@ -2,7 +2,7 @@
 """Tests of the shared shutdown deadline of a process."""
 
 from lanedock.kernel import StopPlan
-from lanedock.kernel.stop_plan import ANSWER_TIME
+from lanedock.kernel.stop_plan import FINAL_ANSWER_TIME
 
 
 def test_all_work_is_allowed_before_the_shutdown():
@@ -10,7 +10,7 @@
     assert not plan.is_begun
     assert plan.allows(1e9, 0.0)
     assert plan.start_by(1.0) is None
-    assert plan.linger_left(0.0) == 0.0
+    assert plan.remaining_linger(0.0) == 0.0
 
 
 def test_a_second_call_of_begin_keeps_the_deadline():
@@ -18,7 +18,7 @@
     plan.begin(100.0)
     plan.begin(104.0)
     assert plan.deadline == 105.0
-    assert plan.cut_at == 105.0 + ANSWER_TIME
+    assert plan.cut_at == 105.0 + FINAL_ANSWER_TIME
 
 
 def test_work_that_ends_by_the_deadline_is_allowed_during_the_linger_time():
@@ -39,8 +39,8 @@
 def test_the_remaining_linger_time_falls_to_zero():
     plan = StopPlan(3.0, 5.0)
     plan.begin(100.0)
-    assert plan.linger_left(101.0) == 2.0
-    assert plan.linger_left(104.0) == 0.0
+    assert plan.remaining_linger(101.0) == 2.0
+    assert plan.remaining_linger(104.0) == 0.0
 
 
 def test_the_deadline_is_not_before_the_end_of_the_linger_time():
--- a/packages/lanedock/lanedock/limits/__init__.py
+++ b/packages/lanedock/lanedock/limits/__init__.py
@@ -1,10 +1,10 @@
 # SPDX-License-Identifier: BSD-3-Clause
 """Limits on requests: slots and their shares, request rates, bodies in flight, retry budgets and admission."""
 
-from lanedock.limits.admission import Admission
+from lanedock.limits.admission import AdmissionRateLimiter
 from lanedock.limits.bodies import BodyAdmission
-from lanedock.limits.body_transfer import QUEUE_TIME, BodyTransfer
-from lanedock.limits.calls import CallKinds
+from lanedock.limits.body_transfer import MAX_LINK_QUEUE_TIME, BodyTransfer
+from lanedock.limits.call_kinds import CallKinds
 from lanedock.limits.first_attempts import FirstAttempts
 from lanedock.limits.queue import AdmissionRequest, QueuedRequest
 from lanedock.limits.rate import RateLimiter
@@ -12,8 +12,8 @@
 from lanedock.limits.slots import Refused, SlotLimiter
 
 __all__ = [
-    "QUEUE_TIME",
-    "Admission",
+    "MAX_LINK_QUEUE_TIME",
+    "AdmissionRateLimiter",
     "AdmissionRequest",
     "BodyAdmission",
     "BodyTransfer",
