--- a/packages/lanedock/lanedock/limits/admission.py
+++ b/packages/lanedock/lanedock/limits/admission.py
@@ -1,10 +1,10 @@
 # SPDX-License-Identifier: BSD-3-Clause
 """Admission at a limited rate, with retry delays for what is refused."""
 
-__all__ = ["Admission"]
+__all__ = ["AdmissionRateLimiter"]
 
 
-class Admission:
+class AdmissionRateLimiter:
     """A token bucket that returns a retry delay with each refusal.
 
     Retry delays end one after another, at the rate at which tokens are added, so that a
@@ -29,9 +29,9 @@
         self._last_retry_at = float("-inf")
 
     def __repr__(self) -> str:
-        return f"<Admission rate={self._rate} tokens={self._tokens:.1f}/{self._burst}>"
+        return f"<AdmissionRateLimiter rate={self._rate} tokens={self._tokens:.1f}/{self._burst}>"
 
-    def ask(self, now: float) -> float:
+    def acquire(self, now: float) -> float:
         """Ask for admission.
 
         Parameters
--- a/packages/lanedock/lanedock/limits/bodies.py
+++ b/packages/lanedock/lanedock/limits/bodies.py
@@ -9,7 +9,7 @@
 
 from lanedock.config import TrafficClass
 from lanedock.errors import ErrorCode
-from lanedock.limits.body_transfer import QUEUE_TIME, BodyTransfer
+from lanedock.limits.body_transfer import MAX_LINK_QUEUE_TIME, BodyTransfer
 from lanedock.limits.delivery_rate import DeliveryRate
 from lanedock.limits.queue import AdmissionQueue, AdmissionRequest
 from lanedock.limits.slots import Refused
@@ -26,7 +26,7 @@
 _MIN_CONCURRENT = 2
 # Bodies that don't arrive still count as in flight, as all of them may arrive at once at any
 # moment. Now and then one more body is admitted as a probe, only to see whether the late
-# bodies wait for the link or for their senders. The first probe follows after `QUEUE_TIME`.
+# bodies wait for the link or for their senders. The first probe follows after `MAX_LINK_QUEUE_TIME`.
 # While no body begins to arrive, each further interval is _PROBE_GROWTH times as long, up to
 # _MAX_PROBE_INTERVAL, in seconds.
 _PROBE_GROWTH = 4
@@ -38,7 +38,7 @@
 # Excess of a body's first-byte delay over the least delay seen, in seconds, up to which the
 # queue on the link counts as short: half of the queue allowed. Here and in `_byte_limit`, the
 # least delay is taken into account so that slow, distant senders don't look like a narrow link.
-_SHORT_QUEUE_TIME = QUEUE_TIME / 2
+_SHORT_QUEUE_TIME = MAX_LINK_QUEUE_TIME / 2
 # Rate up to which a link's bodies are paced, in bytes per second (10 Mbit/s). On such a link a
 # body of 60 kB that is sent at once delays short calls for longer than their timeouts.
 _MAX_PACED_RATE = 1_250_000.0
@@ -71,12 +71,12 @@
         self._admitted: dict[BodyTransfer, None] = {}
         self._delivery_rate = DeliveryRate()
         # Least delay until a body's first bytes, in seconds: an estimate of the round trip. At
-        # most `QUEUE_TIME`, so that neither an application that reads its first body late nor
+        # most `MAX_LINK_QUEUE_TIME`, so that neither an application that reads its first body late nor
         # a full link is taken for a long round trip.
-        self._min_delay = QUEUE_TIME
+        self._min_delay = MAX_LINK_QUEUE_TIME
         # When the next probe may be admitted, and the interval from it to the following one.
         self._probe_at = 0.0
-        self._probe_interval = QUEUE_TIME
+        self._probe_interval = MAX_LINK_QUEUE_TIME
 
     def __repr__(self) -> str:
         return f"<BodyAdmission outstanding={self.outstanding} waiting={self.waiting} {self._delivery_rate!r}>"
@@ -108,7 +108,7 @@
         size: int | None,
         expires_at: float,
         now: float,
-        on_admitted,
+        on_decided,
     ) -> BodyTransfer | Refused:
         """Ask whether a body may be sent.
 
@@ -121,7 +121,7 @@
         expires_at : float
             Time until which the body may wait.
         now : float
-        on_admitted : callable
+        on_decided : callable
             Called without arguments when a body that had to wait is admitted or evicted.
 
         Returns
@@ -132,7 +132,7 @@
             The body can't arrive in time, or the queue is full; `retry_after` is the
             estimated wait.
         """
-        transfer = BodyTransfer(traffic_class, request, on_admitted, expires_at, size)
+        transfer = BodyTransfer(traffic_class, request, on_decided, expires_at, size)
         rate = self._assumed_rate()
         in_flight = self._bytes_in_flight(now)
         is_alone = not (in_flight or self.waiting)
@@ -204,7 +204,7 @@
     def _note_first_bytes(self, transfer: BodyTransfer, delay: float, now: float) -> None:
         """Record that a body's first bytes arrive, `delay` seconds after its sender was asked."""
         self._min_delay = min(self._min_delay, delay)
-        self._probe_interval = QUEUE_TIME
+        self._probe_interval = MAX_LINK_QUEUE_TIME
         is_queue_short = delay <= self._min_delay + _SHORT_QUEUE_TIME
         if self._mark_overtaken(transfer, is_queue_short, delay, now) or is_queue_short:
             self._probe_at = now
@@ -256,7 +256,7 @@
     def update(self, now: float) -> None:
         """Admit waiting bodies as far as there is room.
 
-        To be called every `QUEUE_TIME` while any wait: admitted bodies may have turned out to be
+        To be called every `MAX_LINK_QUEUE_TIME` while any wait: admitted bodies may have turned out to be
         late, which makes room or lets a probe be admitted.
         """
         if self.waiting:
@@ -267,7 +267,7 @@
                     return
                 transfer = self._queue.pop_first(name)
                 self._admit(transfer, now)
-                transfer.on_admitted()
+                transfer.on_decided()
 
     def _admit(self, transfer: BodyTransfer, now: float) -> None:
         if not self._has_room(now):
@@ -314,7 +314,7 @@
     def _byte_limit(self) -> float:
         """Return the bytes in flight from which on no further body is admitted."""
         # Bytes that are still on the way to the link are in flight, but not queued there.
-        time = self._min_delay + QUEUE_TIME
+        time = self._min_delay + MAX_LINK_QUEUE_TIME
         if self.rate is None:
             return min(_INITIAL_LIMIT, self._link_rate * time)
         return self._assumed_rate() * time
--- a/packages/lanedock/lanedock/limits/body_transfer.py
+++ b/packages/lanedock/lanedock/limits/body_transfer.py
@@ -3,16 +3,16 @@
 
 from lanedock.limits.queue import AdmissionRequest, QueuedRequest
 
-__all__ = ["QUEUE_TIME", "BodyTransfer"]
+__all__ = ["MAX_LINK_QUEUE_TIME", "BodyTransfer"]
 
 # Time that the link should need for the bodies in flight, in seconds: several round trips
 # between zones, so that the link is never idle while a sender waits for permission, and half
 # of the time available to the shortest calls (0.2 s).
-QUEUE_TIME = 0.1
+MAX_LINK_QUEUE_TIME = 0.1
 # Fraction of a rate up to which a body counts as slow. Half, as other bodies that arrive
 # meanwhile take a part of the link.
 _SLOW_FRACTION = 0.5
-# A slow sender's body counts as in flight with this fraction of what it delivers in `QUEUE_TIME`.
+# A slow sender's body counts as in flight with this fraction of what it delivers in `MAX_LINK_QUEUE_TIME`.
 # Below 1, so that further slow senders are admitted until they fill the link; BBR's windows of
 # twice the bandwidth-delay product find unused bandwidth in the same way.
 _OVERTAKEN_FRACTION = 0.5
@@ -52,8 +52,8 @@
         "size",
     )
 
-    def __init__(self, traffic_class: str, request: AdmissionRequest, on_admitted, expires_at: float, size: int | None):
-        super().__init__(traffic_class, request, on_admitted, expires_at)
+    def __init__(self, traffic_class: str, request: AdmissionRequest, on_decided, expires_at: float, size: int | None):
+        super().__init__(traffic_class, request, on_decided, expires_at)
         self._is_size_known = size is not None
         self.size = self.remaining = _DEFAULT_SIZE if size is None else size
         self.is_admitted = False
@@ -84,12 +84,12 @@
     def admit(self, now: float) -> None:
         """Allow the sender to be asked for the body."""
         self.is_admitted = True
-        self._expected_at = now + QUEUE_TIME
+        self._expected_at = now + MAX_LINK_QUEUE_TIME
 
     def begin(self, now: float, wait: float) -> None:
         """Note that the sender is asked for the body, whose first bytes are expected within `wait` seconds."""
         self.begun_at = now
-        self._expected_at = now + wait + QUEUE_TIME
+        self._expected_at = now + wait + MAX_LINK_QUEUE_TIME
 
     def note(self, size: int) -> None:
         """Record that `size` bytes have arrived; with an unknown size, `remaining` stays as it is."""
@@ -115,12 +115,12 @@
         However late the remaining bytes of a body are, they may already be on the link or
         enter it at any moment, so all of them count. Two kinds of bodies count less:
         overtaken bodies, whose senders are slow, and bodies whose requests still wait for
-        a slot. The latter count for `QUEUE_TIME` after admission, and then not until their
+        a slot. The latter count for `MAX_LINK_QUEUE_TIME` after admission, and then not until their
         senders are asked, so that they don't delay others.
         """
         if self.is_overtaken:
-            own_rate = self._received / max(now - self.begun_at, QUEUE_TIME)
-            return min(self.remaining, _OVERTAKEN_FRACTION * own_rate * QUEUE_TIME)
+            own_rate = self._received / max(now - self.begun_at, MAX_LINK_QUEUE_TIME)
+            return min(self.remaining, _OVERTAKEN_FRACTION * own_rate * MAX_LINK_QUEUE_TIME)
         if not self.is_begun and now >= self._expected_at:
             return 0.0
         return self.remaining
--- a/packages/lanedock/lanedock/limits/queue.py
+++ b/packages/lanedock/lanedock/limits/queue.py
@@ -53,7 +53,7 @@
     ----------
     traffic_class : str
     request : AdmissionRequest
-    on_admitted : callable
+    on_decided : callable
         Called without arguments when the request stops waiting: it got a slot or was evicted,
         see `is_evicted`.
     expires_at : float
@@ -65,13 +65,13 @@
         Whether the request was removed in favor of one of a higher priority.
     """
 
-    __slots__ = ("expires_at", "is_evicted", "on_admitted", "request", "traffic_class")
+    __slots__ = ("expires_at", "is_evicted", "on_decided", "request", "traffic_class")
 
-    def __init__(self, traffic_class: str, request: AdmissionRequest, on_admitted, expires_at: float):
+    def __init__(self, traffic_class: str, request: AdmissionRequest, on_decided, expires_at: float):
         self.is_evicted = False
         self.traffic_class = traffic_class
         self.request = request
-        self.on_admitted = on_admitted
+        self.on_decided = on_decided
         self.expires_at = expires_at
 
     def __repr__(self) -> str:
@@ -197,5 +197,5 @@
             return False
         self.remove(last)
         last.is_evicted = True
-        last.on_admitted()
+        last.on_decided()
         return True
--- a/packages/lanedock/lanedock/limits/rate.py
+++ b/packages/lanedock/lanedock/limits/rate.py
@@ -1,5 +1,5 @@
 # SPDX-License-Identifier: BSD-3-Clause
-"""The rate limit on an upstream's requests, and the turns at which callers may send more."""
+"""The rate limit on an upstream's requests, and the times at which callers may send more."""
 
 import math
 
@@ -11,8 +11,8 @@
 # The same for arrivals; larger, as admitted requests may be delayed by their bodies and then arrive together.
 _ARRIVAL_BURST_TIME = 0.5
 _ARRIVAL_BURST_TOKENS = 2.0
-# Longest delay until a caller's turn, in seconds, so that callers notice soon when a limit ends.
-_MAX_TURN_DELAY = 5.0
+# Longest delay until a caller's send time, in seconds, so that callers notice soon when a limit ends.
+_MAX_SEND_DELAY = 5.0
 
 
 class _TokenBucket:
@@ -56,8 +56,8 @@
     A request takes a token when it is admitted. Once its body is available it may have to
     wait again, briefly, if several requests were delayed and would arrive together.
 
-    Answers tell callers when their next turn is. Turns are consecutive, at the rate at
-    which tokens are added. Until its turn a caller sends requests to other instances, so
+    Answers tell callers when their next send time is. Send times are consecutive, at the rate at
+    which tokens are added. Until its send time a caller sends requests to other instances, so
     that all callers together, however many, hardly exceed the limit.
 
     Attributes
@@ -70,7 +70,7 @@
         self.rate: float | None = None
         self._admission_bucket: _TokenBucket | None = None
         self._arrival_bucket: _TokenBucket | None = None
-        self._turn_at = float("-inf")
+        self._send_at = float("-inf")
 
     def __repr__(self) -> str:
         return f"<RateLimiter {self.rate}>"
@@ -87,7 +87,7 @@
         self.rate = rate
         if rate is None:
             self._admission_bucket = self._arrival_bucket = None
-            self._turn_at = float("-inf")
+            self._send_at = float("-inf")
             return
         admission = (rate, _BURST_TOKENS + _BURST_TIME * rate, now)
         arrival = (rate, _ARRIVAL_BURST_TOKENS + _ARRIVAL_BURST_TIME * rate, now)
@@ -96,8 +96,8 @@
         else:
             self._admission_bucket.configure(*admission)
             self._arrival_bucket.configure(*arrival)
-        # Turns assigned at the former rate don't delay those at this rate.
-        self._turn_at = now
+        # Send times assigned at the former rate don't delay those at this rate.
+        self._send_at = now
 
     def wait(self, now: float, ahead: int = 0) -> float:
         """Return the seconds until a request may be admitted after `ahead` others; 0 if it may be now."""
@@ -128,7 +128,7 @@
             self._arrival_bucket.add(-1.0)
         return wait
 
-    def next_turn(self, now: float, queued: int) -> float:
+    def next_send_delay(self, now: float, queued: int) -> float:
         """Reserve the time of a caller's next request under the rate limit, and return the wait until then.
 
         Parameters
@@ -145,9 +145,9 @@
         """
         if self._admission_bucket is None:
             return 0.0
-        free_at = now + min(self._admission_bucket.wait(now, queued), _MAX_TURN_DELAY)
-        turn_at = max(free_at, self._turn_at)
-        if turn_at <= now:
+        free_at = now + min(self._admission_bucket.wait(now, queued), _MAX_SEND_DELAY)
+        send_at = max(free_at, self._send_at)
+        if send_at <= now:
             return 0.0
-        self._turn_at = min(turn_at + 1 / self.rate, now + _MAX_TURN_DELAY) if self.rate else turn_at
-        return turn_at - now
+        self._send_at = min(send_at + 1 / self.rate, now + _MAX_SEND_DELAY) if self.rate else send_at
+        return send_at - now
--- a/packages/lanedock/lanedock/limits/retries.py
+++ b/packages/lanedock/lanedock/limits/retries.py
@@ -27,7 +27,7 @@
         """Take one retry out of the budget; return False if the budget is exhausted."""
 
     @abstractmethod
-    def left(self, now: float) -> float:
+    def available(self, now: float) -> float:
         """Return the number of retries that may be made now."""
 
 
@@ -61,7 +61,7 @@
         self._balance -= 1
         return True
 
-    def left(self, now: float) -> float:
+    def available(self, now: float) -> float:
         return self._balance
 
 
@@ -105,13 +105,13 @@
         self._first_tries[current] = self._first_tries.get(current, 0) + 1
 
     def spend(self, now: float) -> bool:
-        if self.left(now) < 1:
+        if self.available(now) < 1:
             return False
         current = int(now / self._interval)
         self._retries[current] = self._retries.get(current, 0) + 1
         return True
 
-    def left(self, now: float) -> float:
+    def available(self, now: float) -> float:
         current = int(now / self._interval)
         self._first_tries = {
             number: count for number, count in self._first_tries.items() if current - number < _INTERVALS
--- a/packages/lanedock/lanedock/limits/slots.py
+++ b/packages/lanedock/lanedock/limits/slots.py
@@ -123,7 +123,7 @@
         self._queue.configure(queue, classes)
 
     def acquire(
-        self, traffic_class: str, request: AdmissionRequest, now: float, on_admitted
+        self, traffic_class: str, request: AdmissionRequest, now: float, on_decided
     ) -> QueuedRequest | Refused | None:
         """Ask for a slot.
 
@@ -133,7 +133,7 @@
         request : AdmissionRequest
         now : float
             Monotonic, seconds.
-        on_admitted : callable
+        on_decided : callable
             Called without arguments when a queued request gets a slot or is evicted.
 
         Returns
@@ -151,21 +151,21 @@
         if now < request.start_by and self._has_room(traffic_class, now):
             self._take_slot(traffic_class, now)
             return None
-        refused = self.judge(traffic_class, request, now)
+        refused = self.check_admission(traffic_class, request, now)
         if refused is not None:
             return refused
         if not (self._queue.has_room(traffic_class) or self._queue.evict_for(traffic_class, request)):
             return self.refuse(request, now, self._estimate_wait(traffic_class, request, now))
-        queued = QueuedRequest(traffic_class, request, on_admitted, self._expiry(request, now))
+        queued = QueuedRequest(traffic_class, request, on_decided, self._expiry(request, now))
         self._queue.add(queued)
         return queued
 
-    def judge(self, traffic_class: str, request: AdmissionRequest, now: float) -> Refused | None:
+    def check_admission(self, traffic_class: str, request: AdmissionRequest, now: float) -> Refused | None:
         """Return the refusal of a request that can't get a slot in time, or None if it can."""
         if now >= request.deadline:
             return Refused(ErrorCode.DEADLINE, 0.0)
         if now >= request.start_by:
-            return Refused(ErrorCode.OVERLOADED, self.return_after(request, now))
+            return Refused(ErrorCode.OVERLOADED, self.retry_delay(request, now))
         if self._has_room(traffic_class, now):
             return None
         wait = self._estimate_wait(traffic_class, request, now)
@@ -186,7 +186,7 @@
         """
         if wait is None:
             wait = self.rate.wait(now, self.waiting)
-        retry_after = self.return_after(request, now, wait)
+        retry_after = self.retry_delay(request, now, wait)
         if self.rate.wait(now, self.waiting) > 0:
             return Refused(ErrorCode.RATE_LIMITED, retry_after, "rate")
         return Refused(ErrorCode.OVERLOADED, retry_after)
@@ -219,13 +219,13 @@
             while self._queue.has_queued(name) and self._has_room(name, now):
                 queued = self._queue.pop_first(name)
                 self._take_slot(name, now)
-                queued.on_admitted()
+                queued.on_decided()
 
     def cancel(self, queued: QueuedRequest) -> bool:
         """Remove a request from the queue; return False if it is no longer there."""
         return self._queue.remove(queued)
 
-    def return_after(self, request: AdmissionRequest, now: float, wait: float = 0.0) -> float:
+    def retry_delay(self, request: AdmissionRequest, now: float, wait: float = 0.0) -> float:
         """Return the delay after which a refused request may be retried, in seconds.
 
         A request that can still be answered by its target time is retried before that
@@ -250,18 +250,18 @@
         # A retry after the deadline is useless.
         return min(estimate * self._rng.uniform(*_RETRY_SPREAD), max(0.0, request.deadline - now))
 
-    def next_turn(self, now: float) -> float:
-        """Reserve a caller's next request under the rate limit, and return its wait; see `RateLimiter.next_turn`."""
-        return self.rate.next_turn(now, self.waiting)
+    def next_send_delay(self, now: float) -> float:
+        """Reserve a caller's next request under the rate limit, and return its wait; see `RateLimiter`."""
+        return self.rate.next_send_delay(now, self.waiting)
 
-    def latest_start(self, request: AdmissionRequest, now: float) -> float:
+    def wait_expiry(self, request: AdmissionRequest, now: float) -> float:
         """Return the time until which a request may wait for resources other than a slot, such as its body.
 
         The time is before `now` if the request must not wait.
         """
         return self._expiry(request, now)
 
-    def tail(self, kind: str) -> float:
+    def tail_service_time(self, kind: str) -> float:
         """Return the service time that few requests of a kind exceed, in seconds."""
         return self._service_times.tail(kind)
 
--- a/packages/lanedock/lanedock/limits/tests/link.py
+++ b/packages/lanedock/lanedock/limits/tests/link.py
@@ -5,7 +5,7 @@
 from itertools import count
 
 from lanedock.config import TrafficClass
-from lanedock.limits import QUEUE_TIME, AdmissionRequest, BodyAdmission, Refused
+from lanedock.limits import MAX_LINK_QUEUE_TIME, AdmissionRequest, BodyAdmission, Refused
 
 __all__ = ["BODY", "CLASSES", "FAR", "NARROW", "PACKET", "ROUND_TRIP", "WIDE", "Link"]
 
@@ -150,6 +150,6 @@
             self.now, _, action, args = heapq.heappop(self._events)
             action(*args)
             # Daemons call `update` at this interval while bodies wait.
-            while ticks * QUEUE_TIME < self.now:
+            while ticks * MAX_LINK_QUEUE_TIME < self.now:
                 ticks += 1
                 self.bodies.update(self.now)
--- a/packages/lanedock/lanedock/limits/tests/test_bodies.py
+++ b/packages/lanedock/lanedock/limits/tests/test_bodies.py
@@ -7,7 +7,7 @@
 import pytest
 
 from lanedock.errors import ErrorCode
-from lanedock.limits import QUEUE_TIME, AdmissionRequest, BodyAdmission, Refused
+from lanedock.limits import MAX_LINK_QUEUE_TIME, AdmissionRequest, BodyAdmission, Refused
 from lanedock.limits.tests.link import BODY, CLASSES, FAR, NARROW, PACKET, ROUND_TRIP, WIDE, Link
 
 
@@ -87,7 +87,7 @@
     link.run()
     assert link.refused == 0
     assert len(link.received_at) == uploads
-    assert max(link.received_at) <= uploads * interval + BODY / sender_rate + QUEUE_TIME
+    assert max(link.received_at) <= uploads * interval + BODY / sender_rate + MAX_LINK_QUEUE_TIME
 
 
 @pytest.mark.parametrize("sender_fraction", [0.1, 0.3, 1, 4])
@@ -104,7 +104,7 @@
     assert len(link.received_at) + link.refused == 2000
     assert sum(link.sizes) >= 0.95 * NARROW * max(link.received_at)
     waits = sorted(link.message_waits)
-    assert waits[len(waits) // 2] <= 2 * QUEUE_TIME
+    assert waits[len(waits) // 2] <= 2 * MAX_LINK_QUEUE_TIME
     assert waits[int(0.99 * len(waits))] <= 0.75
     assert max(link.durations) <= 3.0 + 2 * 360_000 / (min(1, sender_fraction) * NARROW)
 
@@ -141,8 +141,8 @@
     link.run()
     assert len(link.received_at) == 20
     # A message waits for at most the permitted queue: two bodies, or what the link delivers in a round trip
-    # plus QUEUE_TIME.
-    assert max(link.message_waits) <= 2 * QUEUE_TIME + BODY / NARROW
+    # plus MAX_LINK_QUEUE_TIME.
+    assert max(link.message_waits) <= 2 * MAX_LINK_QUEUE_TIME + BODY / NARROW
     # A sample taken after a pause, when buffered bytes arrive at once, does not exceed the known rate.
     link.bodies.update(link.now)
     assert link.bodies.rate <= NARROW
@@ -161,7 +161,7 @@
     link.run(until=5.5)
     assert link.refused == 0
     assert len(link.received_at) == 8
-    assert max(link.durations) <= 2 * QUEUE_TIME
+    assert max(link.durations) <= 2 * MAX_LINK_QUEUE_TIME
 
 
 def test_slow_senders_with_late_first_bytes_do_not_delay_each_other():
@@ -236,15 +236,15 @@
     waiting = [bodies.acquire("bulk", AdmissionRequest(FAR), BODY, FAR, now, lambda: None) for _ in range(6)]
     admitted_at = []
     for step in range(1, 450):
-        moment = now + step * QUEUE_TIME / 10
+        moment = now + step * MAX_LINK_QUEUE_TIME / 10
         bodies.update(moment)
         for transfer in waiting:
             if transfer.is_admitted and not transfer.is_begun:
                 bodies.begin(transfer, moment)
                 admitted_at.append(moment - now)
     gaps = [later - earlier for earlier, later in pairwise(admitted_at)]
-    assert admitted_at[0] == pytest.approx(ROUND_TRIP + QUEUE_TIME, abs=QUEUE_TIME / 5)
-    assert gaps[:4] == pytest.approx([0.1, 0.4, 1.6, 2.0], abs=QUEUE_TIME / 5)
+    assert admitted_at[0] == pytest.approx(ROUND_TRIP + MAX_LINK_QUEUE_TIME, abs=MAX_LINK_QUEUE_TIME / 5)
+    assert gaps[:4] == pytest.approx([0.1, 0.4, 1.6, 2.0], abs=MAX_LINK_QUEUE_TIME / 5)
     # The bodies that don't arrive count in full meanwhile.
     assert bodies.outstanding == sum(transfer.remaining for transfer in (*stuck, *waiting) if transfer.is_admitted)
 
@@ -254,7 +254,7 @@
     for _ in range(2):
         _begin_body(bodies, now)
     probe, other = (bodies.acquire("bulk", AdmissionRequest(FAR), BODY, FAR, now, lambda: None) for _ in range(2))
-    moment = now + ROUND_TRIP + 1.1 * QUEUE_TIME
+    moment = now + ROUND_TRIP + 1.1 * MAX_LINK_QUEUE_TIME
     bodies.update(moment)
     assert (probe.is_admitted, other.is_admitted) == (True, False)
     bodies.begin(probe, moment)
@@ -313,7 +313,7 @@
         assert bodies.acquire("bulk", AdmissionRequest(FAR), 100_000, FAR, 0.0, None).is_admitted
     waiting = bodies.acquire("urgent", AdmissionRequest(FAR), BODY, FAR, 0.0, lambda: None)
     assert not waiting.is_admitted
-    bodies.update(QUEUE_TIME)
+    bodies.update(MAX_LINK_QUEUE_TIME)
     assert waiting.is_admitted
 
 
--- a/packages/lanedock/lanedock/limits/tests/test_rate.py
+++ b/packages/lanedock/lanedock/limits/tests/test_rate.py
@@ -22,8 +22,8 @@
     return limiter
 
 
-def _ask(limiter: SlotLimiter, now: float, target: float = FAR, name: str = "browse", on_admitted=lambda: None):
-    return limiter.acquire(name, AdmissionRequest(FAR, target), now, on_admitted)
+def _ask(limiter: SlotLimiter, now: float, target: float = FAR, name: str = "browse", on_decided=lambda: None):
+    return limiter.acquire(name, AdmissionRequest(FAR, target), now, on_decided)
 
 
 def _max_per_window(times: list[float]) -> int:
@@ -89,7 +89,7 @@
     limiter.configure(10.0, 0.0)
     assert limiter.wait(0.0) == pytest.approx(0.1)
     limiter.configure(None, 0.0)
-    assert limiter.wait(0.0) == 0.0 and limiter.next_turn(0.0, 5) == 0.0
+    assert limiter.wait(0.0) == 0.0 and limiter.next_send_delay(0.0, 5) == 0.0
 
 
 def test_a_limit_of_zero_refuses_requests_with_finite_delays():
@@ -99,14 +99,14 @@
     refused = _ask(limiter, 50.0)
     assert isinstance(refused, Refused) and refused.code is ErrorCode.RATE_LIMITED
     assert math.isfinite(refused.retry_after)
-    assert math.isfinite(limiter.next_turn(50.0))
+    assert math.isfinite(limiter.next_send_delay(50.0))
 
 
 def test_a_request_waits_for_a_token_if_it_can_still_be_in_time():
     limiter = _make_limited(10.0)
     assert _ask(limiter, 0.0) is None
     admitted = []
-    queued = _ask(limiter, 0.0, target=5.0, on_admitted=lambda: admitted.append(1))
+    queued = _ask(limiter, 0.0, target=5.0, on_decided=lambda: admitted.append(1))
     assert isinstance(queued, QueuedRequest)
     limiter.admit_queued(0.05)
     assert not admitted
@@ -127,8 +127,8 @@
     limiter = _make_limited(1.0)
     assert _ask(limiter, 0.0) is None
     order = []
-    _ask(limiter, 0.0, on_admitted=lambda: order.append("browse"))
-    _ask(limiter, 0.0, name="order", on_admitted=lambda: order.append("order"))
+    _ask(limiter, 0.0, on_decided=lambda: order.append("browse"))
+    _ask(limiter, 0.0, name="order", on_decided=lambda: order.append("order"))
     limiter.admit_queued(1.0)
     assert order == ["order"]
 
@@ -137,7 +137,7 @@
     limiter = _make_limited(1.0)
     assert _ask(limiter, 0.0) is None
     admitted = []
-    _ask(limiter, 0.0, on_admitted=lambda: admitted.append(1))
+    _ask(limiter, 0.0, on_decided=lambda: admitted.append(1))
     _ask(limiter, 1.0)
     assert admitted
 
@@ -158,11 +158,11 @@
     assert isinstance(refused, Refused) and refused.code is ErrorCode.OVERLOADED
 
 
-def test_callers_get_consecutive_turns_at_the_rate():
+def test_callers_get_consecutive_send_times_at_the_rate():
     limiter = RateLimiter()
     limiter.configure(4.0, 0.0)
-    assert limiter.next_turn(0.0, 0) == 0.0
+    assert limiter.next_send_delay(0.0, 0) == 0.0
     limiter.admit()
-    turns = [limiter.next_turn(0.0, 0) for _ in range(3)]
-    assert turns == pytest.approx([0.25, 0.5, 0.75])
-    assert max(limiter.next_turn(0.0, 0) for _ in range(100)) <= 5.0
+    delays = [limiter.next_send_delay(0.0, 0) for _ in range(3)]
+    assert delays == pytest.approx([0.25, 0.5, 0.75])
+    assert max(limiter.next_send_delay(0.0, 0) for _ in range(100)) <= 5.0
--- a/packages/lanedock/lanedock/limits/tests/test_slots.py
+++ b/packages/lanedock/lanedock/limits/tests/test_slots.py
@@ -8,7 +8,7 @@
 from lanedock.config import TrafficClass
 from lanedock.errors import ErrorCode
 from lanedock.limits import (
-    Admission,
+    AdmissionRateLimiter,
     AdmissionRequest,
     FirstAttempts,
     QueuedRequest,
@@ -30,8 +30,8 @@
     return SlotLimiter(slots, queue, CLASSES)
 
 
-def _ask(limiter, name, deadline, now, on_admitted, target_time=None, kind="", **options):
-    return limiter.acquire(name, AdmissionRequest(deadline, target_time, kind, **options), now, on_admitted)
+def _ask(limiter, name, deadline, now, on_decided, target_time=None, kind="", **options):
+    return limiter.acquire(name, AdmissionRequest(deadline, target_time, kind, **options), now, on_decided)
 
 
 def _end_one(limiter, name, duration=0.005):
@@ -144,13 +144,13 @@
 
 
 def test_all_requests_of_a_storm_are_admitted_at_the_rate():
-    admission = Admission(rate=100, burst=5)
+    admission = AdmissionRateLimiter(rate=100, burst=5)
     waiting = [(0.0, number) for number in range(200)]
     admitted = {}
     while waiting:
         waiting.sort()
         now, number = waiting.pop(0)
-        wait = admission.ask(now)
+        wait = admission.acquire(now)
         if wait:
             # Daemons return slightly after the delay.
             waiting.append((now + wait * 1.05, number))
@@ -161,8 +161,8 @@
 
 
 def test_the_retry_delays_of_a_storm_are_consecutive():
-    admission = Admission(rate=10, burst=2)
-    waits = [admission.ask(5.0) for _ in range(6)]
+    admission = AdmissionRateLimiter(rate=10, burst=2)
+    waits = [admission.acquire(5.0) for _ in range(6)]
     assert waits[:2] == [0.0, 0.0]
     assert waits[2:] == pytest.approx([0.1, 0.2, 0.3, 0.4])
 
--- a/packages/lanedock/lanedock/membership/core.py
+++ b/packages/lanedock/lanedock/membership/core.py
@@ -112,8 +112,8 @@
     rejected: list[Finding] = []
     try:
         document = FieldReader(source, read_text(text, source).value, "", [])
-        entries = document.objects("instances", is_apart=True)
-        document.finish()
+        entries = document.objects("instances", has_own_findings=True)
+        document.raise_findings()
     except (LanedockError, RecursionError) as exc:
         raise LanedockError(ErrorCode.PLATFORM_UNREADABLE, f"{source}: {exc!r}") from exc
     instances = []
@@ -137,7 +137,7 @@
         service=item.text("service", ""),
         host=item.text("host"),
         port=item.count("port", 1, MAX_PORT),
-        state=item.word("state", _STATES_BY_NAME, "live"),
+        state=item.choice("state", _STATES_BY_NAME, "live"),
         incarnation=item.count("incarnation", 0, default=1),
         version=item.text("version", ""),
     )
--- a/packages/lanedock/lanedock/membership/directory.py
+++ b/packages/lanedock/lanedock/membership/directory.py
@@ -29,7 +29,7 @@
         # Incarnations that the list has shown as leaving: an outdated list may show them as live again.
         self._listed_leaving: dict[str, int] = {}
 
-    def take_list(self, instances: list[Instance], now: float) -> None:
+    def apply_instance_list(self, instances: list[Instance], now: float) -> None:
         """Update the endpoints from the platform's list.
 
         Parameters
@@ -73,7 +73,7 @@
             self._queue_change(name, leaving, now)
         return True
 
-    def revive(self, name: str, incarnation: int) -> None:
+    def clear_drain(self, name: str, incarnation: int) -> None:
         """Clear a recorded drain when a later incarnation of the instance's daemon takes requests."""
         if self._drained.get(name, incarnation) < incarnation:
             del self._drained[name]
--- a/packages/lanedock/lanedock/membership/incarnation.py
+++ b/packages/lanedock/lanedock/membership/incarnation.py
@@ -36,7 +36,7 @@
     def __repr__(self) -> str:
         return f"<Incarnation {self.upstream or '-'} started={self.started or '?'}>"
 
-    def may_be(self, other: "Incarnation") -> bool:
+    def may_equal(self, other: "Incarnation") -> bool:
         """Return whether both may be the same start; an unknown start time matches any."""
         if self.upstream != other.upstream:
             return False
--- a/packages/lanedock/lanedock/membership/registration.py
+++ b/packages/lanedock/lanedock/membership/registration.py
@@ -11,13 +11,13 @@
 heartbeat until after its sender has crashed, and a restarted daemon does not remember
 former ids. A heartbeat with an id other than the current one therefore only makes its
 sender a rival. The daemon then asks the application over loopback for its id, and the
-answer decides between the two (`UpstreamRegistration.settle`).
+answer decides between the two (`UpstreamRegistration.resolve_rival`).
 
 The application's answer contains only its id, so two starts under the same id are ordered
 by their start times. If the clock was set back between them, the newer start is the one
 that keeps sending heartbeats after the other has stopped.
 
-All times are in seconds of `lanedock.clock.awake`, which does not advance while the
+All times are in seconds of `lanedock.clock.running_time`, which does not advance while the
 instance is suspended: the application is suspended together with its daemon, so it does not
 count as silent for that time.
 """
@@ -69,10 +69,10 @@
     advertised : AdvertisedRate
         Rate limit of the current incarnation.
     cold_until : float
-        Time at which the application's warm-up ends, in seconds of `lanedock.clock.awake`.
+        Time at which the application's warm-up ends, in seconds of `lanedock.clock.running_time`.
     rival : Heartbeat or None
         Latest heartbeat of an incarnation with another id than the current one, until
-        `settle` decides between the two.
+        `resolve_rival` decides between the two.
     """
 
     def __init__(self, service: str, is_required: bool, interval: float):
@@ -107,7 +107,7 @@
 
     # ------------------------------------------------------------------ inputs
 
-    def beat(self, heartbeat: Heartbeat, now: float) -> bool:
+    def process_heartbeat(self, heartbeat: Heartbeat, now: float) -> bool:
         """Process a heartbeat.
 
         While the current incarnation takes requests, a heartbeat with another id is only
@@ -117,7 +117,7 @@
         ----------
         heartbeat : Heartbeat
         now : float
-            Seconds of `lanedock.clock.awake`.
+            Seconds of `lanedock.clock.running_time`.
 
         Returns
         -------
@@ -136,7 +136,7 @@
     def _process_same_id(self, heartbeat: Heartbeat, now: float) -> bool:
         """Process a heartbeat with the current id, of the current start or of another one."""
         incarnation = heartbeat.incarnation
-        if self.lacks_start(heartbeat) or not incarnation.may_be(self.incarnation):
+        if self.lacks_start(heartbeat) or not incarnation.may_equal(self.incarnation):
             is_later = incarnation.is_restart_of(self.incarnation) and incarnation not in self._ended_incarnations
             if is_later or self._replaces_silent_start(heartbeat, now):
                 return self._switch_to_sender(heartbeat, now)
@@ -201,7 +201,7 @@
         self.rival = heartbeat
         return False
 
-    def settle(self, upstream: str, now: float) -> bool:
+    def resolve_rival(self, upstream: str, now: float) -> bool:
         """Decide between the current incarnation and its rival.
 
         Parameters
@@ -209,7 +209,7 @@
         upstream : str
             Id that the application reports; empty if it cannot be asked.
         now : float
-            Seconds of `lanedock.clock.awake`.
+            Seconds of `lanedock.clock.running_time`.
 
         Returns
         -------
@@ -266,9 +266,9 @@
             Whether the current incarnation has changed to leaving.
         """
         incarnation = Incarnation(upstream, started)
-        if not incarnation.may_be(self.incarnation):
+        if not incarnation.may_equal(self.incarnation):
             rival = self.rival
-            if rival is not None and rival.incarnation.may_be(incarnation):
+            if rival is not None and rival.incarnation.may_equal(incarnation):
                 self.rival = None
                 incarnation = rival.incarnation
             self._mark_ended(incarnation)
@@ -301,7 +301,7 @@
         slots : int
             Number of requests that the application processes concurrently.
         now : float
-            Seconds of `lanedock.clock.awake`.
+            Seconds of `lanedock.clock.running_time`.
         started : int
             Start time in Unix milliseconds; 0 if unknown.
         version : str
@@ -317,7 +317,7 @@
         incarnation = Incarnation(upstream, started)
         if not upstream or incarnation in self._ended_incarnations:
             return False
-        if upstream == self.upstream and incarnation.may_be(self.incarnation):
+        if upstream == self.upstream and incarnation.may_equal(self.incarnation):
             self.advertised.adopt(rate_limit, now)
             return self._merge_current(incarnation, is_leaving, version)
         if upstream == self.upstream and not incarnation.is_restart_of(self.incarnation):
@@ -371,14 +371,14 @@
             Incarnation that answered. A report of an ended incarnation is ignored, because it
             does not apply to the current one.
         now : float
-            Seconds of `lanedock.clock.awake`.
+            Seconds of `lanedock.clock.running_time`.
 
         Returns
         -------
         bool
             Whether the rate limit has changed.
         """
-        if not incarnation.may_be(self.incarnation):
+        if not incarnation.may_equal(self.incarnation):
             return False
         if report.unreadable:
             self.advertised.note_unreadable(now)
@@ -410,7 +410,7 @@
             return not self.is_leaving
         return bool(self.upstream) and not (self.is_leaving or self._is_silent)
 
-    def judge(self, expected: str) -> ErrorCode | None:
+    def refusal_code(self, expected: str) -> ErrorCode | None:
         """Return why a request must not be forwarded, or None if it may be.
 
         Parameters
--- a/packages/lanedock/lanedock/membership/registry.py
+++ b/packages/lanedock/lanedock/membership/registry.py
@@ -37,14 +37,14 @@
     ----------
     window : float
         Seconds for which changes are batched.
-    keep : float
+    retention : float
         Seconds for which an endpoint is retained after the last control instance has stopped
         reporting it: its daemon may only have lost the connection to its control instance.
     """
 
-    def __init__(self, window: float, keep: float):
+    def __init__(self, window: float, retention: float):
         super().__init__(window)
-        self._retention = keep
+        self._retention = retention
         self._registered: dict[str, messages.Endpoint] = {}
         self._peer_endpoints: dict[str, _PeerEndpoints] = {}
         self._unreported_since: dict[str, float] = {}
@@ -75,7 +75,7 @@
             self._gone.add(name)
             self._update_endpoint(name, now)
 
-    def take_report(self, replica: str, report: messages.EndpointReport, now: float) -> bool:
+    def process_report(self, replica: str, report: messages.EndpointReport, now: float) -> bool:
         """Process another control instance's report.
 
         Returns
@@ -100,7 +100,7 @@
             self._update_endpoint(name, now)
         return True
 
-    def forget_source(self, replica: str, now: float) -> None:
+    def forget_control_instance(self, replica: str, now: float) -> None:
         """Discard the reports of a control instance that no longer responds."""
         source = self._peer_endpoints.pop(replica, None)
         for name in source.endpoints if source else ():
--- a/packages/lanedock/lanedock/membership/tests/test_advertised_rate.py
+++ b/packages/lanedock/lanedock/membership/tests/test_advertised_rate.py
@@ -9,7 +9,7 @@
 
 def _registered(upstream: str = "a1") -> UpstreamRegistration:
     registration = UpstreamRegistration("s", True, 1.0)
-    registration.beat(Heartbeat(upstream, "s", 1, False, 4, 0.0), 0.0)
+    registration.process_heartbeat(Heartbeat(upstream, "s", 1, False, 4, 0.0), 0.0)
     return registration
 
 
@@ -84,7 +84,7 @@
     assert registration.advertised.rate == 16.0
     former = registration.incarnation
     registration.leave("a1")
-    registration.beat(Heartbeat("a2", "s", 1, False, 4, 0.0), 1.0)
+    registration.process_heartbeat(Heartbeat("a2", "s", 1, False, 4, 0.0), 1.0)
     assert registration.advertised.rate is None
     registration.note_report(UpstreamReport(rate_limit=16.0), former, 1.1)
     assert registration.advertised.rate is None
@@ -111,8 +111,8 @@
 def test_heartbeat_without_drain_does_not_undo_a_drain():
     registration = _registered()
     assert registration.leave("a1")
-    registration.beat(Heartbeat("a1", "s", 9, False, 4, 0.0), 1.0)
-    assert registration.judge("a1") is ErrorCode.DRAINING
+    registration.process_heartbeat(Heartbeat("a1", "s", 9, False, 4, 0.0), 1.0)
+    assert registration.refusal_code("a1") is ErrorCode.DRAINING
 
 
 def test_restarted_daemon_adopts_the_limit_after_one_health_check_without_it():
--- a/packages/lanedock/lanedock/membership/tests/test_directory.py
+++ b/packages/lanedock/lanedock/membership/tests/test_directory.py
@@ -20,14 +20,14 @@
 @pytest.fixture
 def directory():
     filled = Directory(WINDOW)
-    filled.take_list([_instance("a"), _instance("b")], 0.0)
+    filled.apply_instance_list([_instance("a"), _instance("b")], 0.0)
     assert _leaving_by_instance(filled.take_update(WINDOW)) == {"a": False, "b": False}
     return filled
 
 
 def test_changes_are_batched_within_the_window(directory):
-    directory.take_list([_instance("a"), _instance("b"), _instance("c")], 1.0)
-    directory.take_list([_instance("a", port=2), _instance("b"), _instance("c")], 1.2)
+    directory.apply_instance_list([_instance("a"), _instance("b"), _instance("c")], 1.0)
+    directory.apply_instance_list([_instance("a", port=2), _instance("b"), _instance("c")], 1.2)
     assert directory.take_update(1.4) is None
     assert _leaving_by_instance(directory.take_update(1.5)) == {"a": False, "c": False}
     assert directory.take_update(9.0) is None
@@ -36,22 +36,22 @@
 @pytest.mark.parametrize("cause", ["list", "drain", "gone"])
 def test_leaving_or_removed_instance_is_sent_immediately(directory, cause):
     if cause == "list":
-        directory.take_list([_instance("a", InstanceState.LEAVING), _instance("b")], 1.0)
+        directory.apply_instance_list([_instance("a", InstanceState.LEAVING), _instance("b")], 1.0)
     elif cause == "drain":
         assert directory.drain("a", 7, 1.0)
     else:
-        directory.take_list([_instance("b")], 1.0)
+        directory.apply_instance_list([_instance("b")], 1.0)
     update = directory.take_update(1.0)
     assert _leaving_by_instance(update) == ({} if cause == "gone" else {"a": True})
     assert list(update.gone) == (["a"] if cause == "gone" else [])
 
 
 def test_outdated_list_does_not_revive_a_leaving_instance(directory):
-    directory.take_list([_instance("a", InstanceState.LEAVING), _instance("b")], 1.0)
+    directory.apply_instance_list([_instance("a", InstanceState.LEAVING), _instance("b")], 1.0)
     directory.take_update(1.0)
-    directory.take_list([_instance("a"), _instance("b")], 2.0)
+    directory.apply_instance_list([_instance("a"), _instance("b")], 2.0)
     assert directory.take_update(9.0) is None
-    directory.take_list([_instance("a", incarnation=2), _instance("b")], 10.0)
+    directory.apply_instance_list([_instance("a", incarnation=2), _instance("b")], 10.0)
     assert _leaving_by_instance(directory.take_update(11.0)) == {"a": False}
 
 
@@ -59,11 +59,11 @@
     assert directory.drain("a", 7, 1.0)
     assert not directory.drain("a", 7, 1.0)
     directory.take_update(1.0)
-    directory.revive("a", 7)
-    directory.take_list([_instance("a"), _instance("b")], 2.0)
+    directory.clear_drain("a", 7)
+    directory.apply_instance_list([_instance("a"), _instance("b")], 2.0)
     assert directory.take_update(9.0) is None
-    directory.revive("a", 8)
-    directory.take_list([_instance("a"), _instance("b")], 10.0)
+    directory.clear_drain("a", 8)
+    directory.apply_instance_list([_instance("a"), _instance("b")], 10.0)
     assert _leaving_by_instance(directory.take_update(11.0)) == {"a": False}
 
 
--- a/packages/lanedock/lanedock/membership/tests/test_registry.py
+++ b/packages/lanedock/lanedock/membership/tests/test_registry.py
@@ -32,18 +32,18 @@
 def test_report_makes_an_endpoint_known_to_other_control_instances():
     one, other = _registry(), _registry()
     one.register(_endpoint(), 0.0)
-    assert other.take_report("one", one.whole_report(), 0.0)
+    assert other.process_report("one", one.whole_report(), 0.0)
     assert set(_current_endpoints(other)) == {"a"}
 
 
 def test_lost_report_is_detected_and_a_whole_report_restores_the_state():
     one, other = _registry(), _registry()
-    other.take_report("one", one.whole_report(), 0.0)
+    other.process_report("one", one.whole_report(), 0.0)
     one.register(_endpoint("a"), 0.0)
     one.make_report()
     one.register(_endpoint("b"), 0.0)
-    assert not other.take_report("one", one.make_report(), 0.0)
-    assert other.take_report("one", one.whole_report(), 0.0)
+    assert not other.process_report("one", one.make_report(), 0.0)
+    assert other.process_report("one", one.whole_report(), 0.0)
     assert set(_current_endpoints(other)) == {"a", "b"}
 
 
@@ -52,7 +52,7 @@
     registry.register(_endpoint(revision=5, leaving=True), 0.0)
     old = messages.EndpointReport(sequence=1, whole=True)
     old.changed.append(_endpoint(revision=4))
-    registry.take_report("slow", old, 0.0)
+    registry.process_report("slow", old, 0.0)
     assert _current_endpoints(registry)["a"].leaving
 
 
@@ -97,8 +97,8 @@
 def test_endpoints_reported_only_by_a_silent_control_instance_expire():
     one, registry = _registry(), _registry()
     one.register(_endpoint("a"), 0.0)
-    registry.take_report("one", one.whole_report(), 0.0)
-    registry.forget_source("one", 5.0)
+    registry.process_report("one", one.whole_report(), 0.0)
+    registry.forget_control_instance("one", 5.0)
     assert "a" in _current_endpoints(registry, 5.0)
     registry.expire(6.0 + KEEP)
     assert "a" not in _current_endpoints(registry, 17.0)
--- a/packages/lanedock/lanedock/quarantine/core.py
+++ b/packages/lanedock/lanedock/quarantine/core.py
@@ -17,7 +17,7 @@
 from lanedock.quarantine.outbox import SuspicionOutbox
 from lanedock.wire import messages
 
-__all__ = ["MAX_CRASHES", "MAX_CRASHES_KEPT", "SUSPECT_PAUSE", "Quarantine"]
+__all__ = ["MAX_CRASHES", "MAX_STORED_CRASHES", "SUSPECT_PAUSE", "Quarantine"]
 
 # Crashes during a request after which it is quarantined. An innocent request may be in progress at
 # two crashes by chance: its retry and that of the request at fault may reach the same upstream.
@@ -34,7 +34,7 @@
 QUARANTINE_TIME = 600.0
 # Upper bounds of the suspected requests and of the crashes of each: 0.5 MB at most.
 MAX_SUSPECTS = 512
-MAX_CRASHES_KEPT = 8
+MAX_STORED_CRASHES = 8
 
 
 class _Suspect:
@@ -69,7 +69,7 @@
 
     def make_room(self) -> bool:
         """Remove the first cleared crash if the list is full; return whether there is room for another."""
-        if len(self.crashes) < MAX_CRASHES_KEPT:
+        if len(self.crashes) < MAX_STORED_CRASHES:
             return True
         cleared = next((crash for crash, is_cleared in self.crashes.items() if is_cleared), None)
         if cleared is None:
@@ -251,7 +251,7 @@
         suspect = self._suspects.get(fingerprint.whole)
         return suspect.uncleared() if suspect is not None else []
 
-    def take_news(self, outbox: SuspicionOutbox, now: float) -> list[messages.Suspicion]:
+    def take_changes(self, outbox: SuspicionOutbox, now: float) -> list[messages.Suspicion]:
         """Return the changed suspicions that a neighbour has not been sent yet."""
         changes = []
         for whole, crash in outbox.take():
@@ -260,11 +260,11 @@
                 changes.append(_make_message(suspect, crash, now))
         return changes
 
-    def whole_news(self, now: float) -> list[messages.Suspicion]:
+    def all_suspicions(self, now: float) -> list[messages.Suspicion]:
         """Return all suspicions, for a neighbour that has just connected."""
         return _make_messages(self._suspects.values(), now)
 
-    def missed_by(self, suspicions: list[messages.Suspicion], now: float) -> list[messages.Suspicion]:
+    def clearances_missing_from(self, suspicions: list[messages.Suspicion], now: float) -> list[messages.Suspicion]:
         """Return the suspicions in a neighbour's list that are cleared here but not there."""
         missed = []
         for item in suspicions:
@@ -273,7 +273,7 @@
                 missed.append(_make_message(suspect, item.crash, now))
         return missed
 
-    def held_news(self, now: float) -> list[messages.Suspicion]:
+    def blocked_suspicions(self, now: float) -> list[messages.Suspicion]:
         """Return the suspicions of the requests that are blocked now, usually none."""
         blocked = [whole for whole, until in self._blocked_until.items() if until > now]
         return _make_messages([self._suspects[whole] for whole in blocked], now)
--- a/packages/lanedock/lanedock/quarantine/fingerprint.py
+++ b/packages/lanedock/lanedock/quarantine/fingerprint.py
@@ -3,7 +3,7 @@
 
 from hashlib import blake2b
 
-__all__ = ["BODY_LIMIT", "Fingerprint", "RequestHasher"]
+__all__ = ["HASHED_BODY_BYTES", "Fingerprint", "RequestHasher"]
 
 # Length of a digest, in bytes. Two requests don't share one by chance, and nobody can construct
 # a request with the digest of another (finding any colliding pair takes 2^64 tries).
@@ -12,7 +12,7 @@
 _PERSONALIZATION = b"lanedock-request"
 # Leading bytes of a body that are hashed. They are buffered before a request that may be
 # quarantined is passed on, so this bounds that memory. Nearly all uploads are shorter.
-BODY_LIMIT = 512 * 1024
+HASHED_BODY_BYTES = 512 * 1024
 
 
 class Fingerprint:
@@ -23,7 +23,7 @@
     head : bytes
         Digest of method, host, target and customer.
     whole : bytes
-        Digest of these and of the body's first `BODY_LIMIT` bytes; equal to `head` if there is no body.
+        Digest of these and of the body's first `HASHED_BODY_BYTES` bytes; equal to `head` if there is no body.
     """
 
     __slots__ = ("head", "whole")
@@ -73,7 +73,7 @@
         self._hash = blake2b(
             fields.encode("utf-8", "surrogateescape"), digest_size=_DIGEST_BYTES, person=_PERSONALIZATION
         )
-        self._bytes_left = BODY_LIMIT if length is None else min(length, BODY_LIMIT)
+        self._bytes_left = HASHED_BODY_BYTES if length is None else min(length, HASHED_BODY_BYTES)
         self.head = self._hash.digest()
 
     @property
--- a/packages/lanedock/lanedock/quarantine/tests/test_core.py
+++ b/packages/lanedock/lanedock/quarantine/tests/test_core.py
@@ -6,7 +6,7 @@
 
 import pytest
 
-from lanedock.quarantine import MAX_CRASHES, MAX_CRASHES_KEPT, SUSPECT_PAUSE, Fingerprint, Quarantine
+from lanedock.quarantine import MAX_CRASHES, MAX_STORED_CRASHES, SUSPECT_PAUSE, Fingerprint, Quarantine
 from lanedock.quarantine.core import MAX_SUSPECTS, QUARANTINE_TIME
 from lanedock.wire import messages
 
@@ -62,8 +62,8 @@
     first.note_crash("a", [CRASHING], 0.0)
     second.note_crash("b", [CRASHING], 0.0)
     second.note_crash("c", [CRASHING], 0.0)
-    first.merge(second.whole_news(5.0), 5.0)
-    second.merge(first.whole_news(5.0), 5.0)
+    first.merge(second.all_suspicions(5.0), 5.0)
+    second.merge(first.all_suspicions(5.0), 5.0)
     assert first.quarantined() == second.quarantined() == [CRASHING]
     assert first.time_left(CRASHING, 5.0) == pytest.approx(QUARANTINE_TIME - 5.0)
 
@@ -80,7 +80,7 @@
             sources[at].clear(CRASHING)
         else:
             sources[at].note_crash(f"u{number % 7}", [CRASHING], 0.0)
-        changes += sources[at].take_news(outboxes[at], 0.0)
+        changes += sources[at].take_changes(outboxes[at], 0.0)
         if rng.random() < 0.5:
             sources[at].merge(rng.sample(changes, rng.randrange(len(changes) + 1)), 0.0)
     readers = [Quarantine() for _ in range(4)]
@@ -95,9 +95,9 @@
     source, downstream = quarantine.add_outbox(), quarantine.add_outbox()
     other = Quarantine()
     other.note_crash("u0", [CRASHING], 0.0)
-    quarantine.merge(other.whole_news(0.0), 0.0, source)
+    quarantine.merge(other.all_suspicions(0.0), 0.0, source)
     assert not source and downstream
-    assert len(quarantine.take_news(downstream, 0.0)) == 1 and not downstream
+    assert len(quarantine.take_changes(downstream, 0.0)) == 1 and not downstream
 
 
 def test_an_expired_quarantine_allows_a_trial_and_one_crash_renews_it():
@@ -120,7 +120,7 @@
 def test_expired_suspicions_are_not_merged():
     old, quarantine = Quarantine(), Quarantine()
     _crash(old, MAX_CRASHES)
-    quarantine.merge(old.whole_news(QUARANTINE_TIME + 1.0), 0.0)
+    quarantine.merge(old.all_suspicions(QUARANTINE_TIME + 1.0), 0.0)
     assert quarantine.size == 0
 
 
@@ -135,14 +135,14 @@
 
 def test_a_request_that_was_cleared_often_can_still_be_quarantined():
     quarantine = Quarantine()
-    for number in range(2 * MAX_CRASHES_KEPT):
+    for number in range(2 * MAX_STORED_CRASHES):
         quarantine.note_crash(f"c{number}", [CRASHING], 0.0)
         quarantine.clear(CRASHING)
     _crash(quarantine, MAX_CRASHES)
     assert quarantine.quarantined() == [CRASHING]
-    for number in range(2 * MAX_CRASHES_KEPT):
+    for number in range(2 * MAX_STORED_CRASHES):
         quarantine.note_crash(f"d{number}", [CRASHING], 0.0)
-    assert len(quarantine.crashes(CRASHING)) == MAX_CRASHES_KEPT
+    assert len(quarantine.crashes(CRASHING)) == MAX_STORED_CRASHES
 
 
 def _note_crashes_under_requests(quarantine: Quarantine, count: int, crashes: int) -> None:
@@ -157,7 +157,7 @@
     quarantine = Quarantine()
     outbox = quarantine.add_outbox()
     _note_crashes_under_requests(quarantine, 18, 1)
-    update = messages.Suspicions(changed=quarantine.take_news(outbox, 1.0))
+    update = messages.Suspicions(changed=quarantine.take_changes(outbox, 1.0))
     assert update.ByteSize() < 1700
 
 
@@ -165,7 +165,7 @@
     """It takes 0.33 MB of the 32 MB that a daemon may use."""
     tracemalloc.start()
     quarantine = Quarantine()
-    _note_crashes_under_requests(quarantine, MAX_SUSPECTS, MAX_CRASHES_KEPT)
+    _note_crashes_under_requests(quarantine, MAX_SUSPECTS, MAX_STORED_CRASHES)
     held, _ = tracemalloc.get_traced_memory()
     tracemalloc.stop()
     assert quarantine.size == MAX_SUSPECTS
--- a/packages/lanedock/lanedock/quarantine/tests/test_runs.py
+++ b/packages/lanedock/lanedock/quarantine/tests/test_runs.py
@@ -3,7 +3,7 @@
 
 import pytest
 
-from lanedock.quarantine import BODY_LIMIT, RecentlyServed, RequestHasher, RunRegistry
+from lanedock.quarantine import HASHED_BODY_BYTES, RecentlyServed, RequestHasher, RunRegistry
 from lanedock.quarantine.runs import ABANDONED_SUSPECT_TIME, LOST_SUSPECT_TIME
 from lanedock.quarantine.served import MAX_SERVED, SERVED_RETENTION
 
@@ -71,7 +71,7 @@
 
 
 def test_only_the_first_part_of_a_long_body_is_hashed():
-    first = bytes(BODY_LIMIT)
+    first = bytes(HASHED_BODY_BYTES)
     assert _hasher(body=first + b"a").fingerprint() == _hasher(body=first + b"b").fingerprint()
 
 
--- a/packages/lanedock/lanedock/rollout/coordinator.py
+++ b/packages/lanedock/lanedock/rollout/coordinator.py
@@ -142,19 +142,19 @@
             findings.append(messages.FindingRecord(code=ErrorCode.STAGING_TIMEOUT.code, message=message))
         return findings
 
-    def progress(self, version: int, allowed_zones: set[str], now: float) -> RolloutProgress:
+    def progress(self, version: int, exempt_zones: set[str], now: float) -> RolloutProgress:
         """Return the progress of a version's rollout.
 
         Parameters
         ----------
         version : int
-        allowed_zones : set of str
+        exempt_zones : set of str
             Availability zones whose unconnected daemons are not required.
         now : float
             Monotonic time, in seconds.
         """
         connected = self._fleet.daemons()
-        required = self._fleet.required(allowed_zones, now)
+        required = self._fleet.required(exempt_zones, now)
         is_accepted = self._state.accepted_version.number >= version
         in_force = {name for name, state in connected.items() if state.in_force_version >= version}
         staged = {name for name, state in connected.items() if state.staged_version == version} | in_force
--- a/packages/lanedock/lanedock/rollout/distributor.py
+++ b/packages/lanedock/lanedock/rollout/distributor.py
@@ -6,10 +6,10 @@
 duplicated message.
 """
 
-from lanedock.config import ConfigTree, Version, needed_groups
+from lanedock.config import ConfigTree, Version, find_needed_groups
 from lanedock.wire import messages
 
-__all__ = ["Child", "Distributor", "VersionSource"]
+__all__ = ["Distributor", "Subscriber", "VersionSource"]
 
 
 class VersionSource:
@@ -34,7 +34,7 @@
         return f"<VersionSource accepted={self.accepted} candidate={self.candidate}>"
 
 
-class Child:
+class Subscriber:
     """A daemon that is connected to this source.
 
     Attributes
@@ -57,7 +57,7 @@
         self.floor_tokens: list[int] = []
 
     def __repr__(self) -> str:
-        return f"<Child {self.state.daemon} in_force={self.state.in_force_version}>"
+        return f"<Subscriber {self.state.daemon} in_force={self.state.in_force_version}>"
 
 
 class Distributor:
@@ -73,11 +73,11 @@
 
     def __init__(self, whole_files: bool = False):
         self.source = VersionSource()
-        self.children: dict[str, Child] = {}
+        self.children: dict[str, Subscriber] = {}
         self._whole_files = whole_files
         self._push_cache: dict[tuple, messages.ControlMessage] = {}
         self._daemon_states: dict[str, messages.DaemonState] = {}
-        self._child_by_daemon: dict[str, Child] = {}
+        self._child_by_daemon: dict[str, Subscriber] = {}
         self._changed: set[str] = set()
         self._gone: set[str] = set()
         self._report_sequence = 0
@@ -87,26 +87,26 @@
 
     # ------------------------------------------------------------------ inputs
 
-    def set_source(self, source: VersionSource) -> None:
+    def set_versions(self, source: VersionSource) -> None:
         """Replace the versions to distribute."""
         self.source = source
         self._push_cache = {}
 
-    def connect(self, state: messages.DaemonState) -> Child:
+    def connect(self, state: messages.DaemonState) -> Subscriber:
         """Add a daemon that has just connected."""
-        child = Child(state)
+        child = Subscriber(state)
         self.children[state.daemon] = child
         self._record_change(child, state)
         return child
 
-    def update(self, child: Child, state: messages.DaemonState) -> None:
+    def update(self, child: Subscriber, state: messages.DaemonState) -> None:
         """Process the state that a daemon reports."""
         if state.want_whole:
             child.sent_stage = child.sent_in_force = Version()
         child.state = state
         self._record_change(child, state)
 
-    def take_relayed(self, child: Child, report: messages.FleetReport) -> None:
+    def process_relay_report(self, child: Subscriber, report: messages.FleetReport) -> None:
         """Process a relay's report on the daemons downstream of it."""
         if report.whole:
             reported = {state.daemon for state in report.changed}
@@ -118,7 +118,7 @@
         for name in report.gone:
             self._record_removal(child, name)
 
-    def disconnect(self, child: Child) -> None:
+    def disconnect(self, child: Subscriber) -> None:
         """Remove a daemon and those downstream of it, except any that have connected again since."""
         name = child.state.daemon
         if self.children.get(name) is child:
@@ -127,14 +127,14 @@
             if owner is child:
                 self._record_removal(child, reported_name)
 
-    def _record_change(self, child: Child, state: messages.DaemonState) -> None:
+    def _record_change(self, child: Subscriber, state: messages.DaemonState) -> None:
         name = state.daemon
         self._child_by_daemon[name] = child
         self._daemon_states[name] = state
         self._changed.add(name)
         self._gone.discard(name)
 
-    def _record_removal(self, child: Child, name: str) -> None:
+    def _record_removal(self, child: Subscriber, name: str) -> None:
         if self._child_by_daemon.get(name) is not child:
             return
         del self._child_by_daemon[name]
@@ -144,22 +144,22 @@
 
     # ----------------------------------------------------------------- outputs
 
-    def due(self, child: Child) -> list[messages.ControlMessage]:
+    def due_messages(self, child: Subscriber) -> list[messages.ControlMessage]:
         """Return the messages to send to a daemon now."""
         accepted = self.source.accepted
         candidate = self.source.candidate
-        due_messages = []
+        pending = []
         if accepted is not None and child.state.in_force_version < accepted.number:
-            due_messages += self._due_in_force(child, accepted)
+            pending += self._due_in_force(child, accepted)
         if candidate is not None:
             if child.sent_stage != candidate.version and not _has_staged_or_refused(child.state, candidate.version):
                 child.sent_stage = candidate.version
-                due_messages.append(self._make_stage_message(child, candidate))
+                pending.append(self._make_stage_message(child, candidate))
         else:
-            due_messages += self._due_discard(child)
-        return due_messages
+            pending += self._due_discard(child)
+        return pending
 
-    def _due_in_force(self, child: Child, accepted: ConfigTree) -> list[messages.ControlMessage]:
+    def _due_in_force(self, child: Subscriber, accepted: ConfigTree) -> list[messages.ControlMessage]:
         if child.sent_in_force == accepted.version:
             return []
         state = child.state
@@ -173,7 +173,7 @@
         child.sent_in_force = accepted.version
         return [message]
 
-    def _due_discard(self, child: Child) -> list[messages.ControlMessage]:
+    def _due_discard(self, child: Subscriber) -> list[messages.ControlMessage]:
         staged = Version(child.state.staged_version, child.state.staged_digest)
         accepted = self.source.accepted
         is_obsolete = staged.number and (accepted is None or staged != accepted.version)
@@ -185,10 +185,10 @@
         message.discard.digest = staged.digest
         return [message]
 
-    def _make_stage_message(self, child: Child, candidate: ConfigTree) -> messages.ControlMessage:
+    def _make_stage_message(self, child: Subscriber, candidate: ConfigTree) -> messages.ControlMessage:
         return self._make_push_message("stage", child, candidate)
 
-    def _make_push_message(self, field: str, child: Child, tree: ConfigTree) -> messages.ControlMessage:
+    def _make_push_message(self, field: str, child: Subscriber, tree: ConfigTree) -> messages.ControlMessage:
         """Return a message with a version, reusing one made for another daemon with the same needs."""
         state = child.state
         wants_all = state.role == messages.ROLE_ENTRY or bool(state.relay_port) or self._whole_files
@@ -200,16 +200,16 @@
         message = self._push_cache.get(key)
         if message is None:
             message = messages.ControlMessage()
-            needed = needed_groups(tree, wants_all, service)
+            needed = find_needed_groups(tree, wants_all, service)
             if base is None:
-                push = tree.whole_push(needed)
+                push = tree.make_full_push(needed)
             else:
-                push = tree.delta_push(needed, base, needed_groups(base, wants_all, service))
+                push = tree.make_delta_push(needed, base, find_needed_groups(base, wants_all, service))
             getattr(message, field).CopyFrom(push)
             self._push_cache[key] = message
         return message
 
-    def _find_base(self, child: Child) -> ConfigTree | None:
+    def _find_base(self, child: Subscriber) -> ConfigTree | None:
         """Return the version that a daemon will hold when the next message arrives, or None if it is not known here.
 
         This is the last version sent, which arrives first, and not the last one reported.
@@ -234,7 +234,7 @@
         """Return whether daemon states have changed since the last report."""
         return bool(self._changed or self._gone)
 
-    def take_report(self, whole: bool) -> messages.FleetReport:
+    def make_report(self, whole: bool) -> messages.FleetReport:
         """Return a report of the daemon states that have changed since the last report.
 
         Parameters
--- a/packages/lanedock/lanedock/rollout/fleet.py
+++ b/packages/lanedock/lanedock/rollout/fleet.py
@@ -48,13 +48,13 @@
 
     # ------------------------------------------------------------------ inputs
 
-    def take_list(self, instances: list[Instance], now: float) -> None:
+    def apply_instance_list(self, instances: list[Instance], now: float) -> None:
         """Replace the listed instances with the platform's list."""
         self._instances = {instance.name: instance for instance in instances}
         for name in self._instances:
             self._last_seen.setdefault(name, now)
 
-    def take_report(self, replica: str, report: messages.FleetReport, now: float) -> bool:
+    def process_report(self, replica: str, report: messages.FleetReport, now: float) -> bool:
         """Process a control instance's report.
 
         Returns
@@ -109,12 +109,12 @@
                     merged[name] = state
         return merged
 
-    def required(self, allowed_zones: set[str], now: float) -> set[str]:
+    def required(self, exempt_zones: set[str], now: float) -> set[str]:
         """Return the daemons that a version has to reach.
 
         Parameters
         ----------
-        allowed_zones : set of str
+        exempt_zones : set of str
             Availability zones whose unconnected daemons the operator has excluded.
         now : float
             Monotonic time, in seconds.
@@ -128,7 +128,7 @@
         connected = self.daemons()
         names = set(connected)
         for name, instance in (self._instances or {}).items():
-            if name in names or instance.zone in allowed_zones:
+            if name in names or instance.zone in exempt_zones:
                 continue
             if not self._is_dead(instance, connected, now):
                 names.add(name)
--- a/packages/lanedock/lanedock/rollout/holder.py
+++ b/packages/lanedock/lanedock/rollout/holder.py
@@ -10,10 +10,10 @@
 from lanedock.findings import Finding, FindingsError
 from lanedock.wire import messages
 
-__all__ = ["Held", "VersionHolder", "record_finding"]
+__all__ = ["HeldVersion", "VersionHolder", "make_finding_record"]
 
 
-class Held:
+class HeldVersion:
     """A complete version that has passed its checks.
 
     Parameters
@@ -35,7 +35,7 @@
         return self.tree.version
 
     def __repr__(self) -> str:
-        return f"<Held {self.version}>"
+        return f"<HeldVersion {self.version}>"
 
 
 class VersionHolder:
@@ -43,10 +43,10 @@
 
     Attributes
     ----------
-    in_force : Held or None
+    in_force : HeldVersion or None
         Version in force. A request keeps using the object that was in force when it was
         matched; a new version replaces the object in a single assignment.
-    staged : Held or None
+    staged : HeldVersion or None
         Version that waits for its acceptance.
     dropped : int
         Number of outdated messages that were ignored.
@@ -60,8 +60,8 @@
     """
 
     def __init__(self):
-        self.in_force: Held | None = None
-        self.staged: Held | None = None
+        self.in_force: HeldVersion | None = None
+        self.staged: HeldVersion | None = None
         self.dropped = 0
         self.wants_whole = False
         self.refused = Version()
@@ -167,12 +167,12 @@
         self.staged = None
         return True
 
-    def _replace_in_force(self, held: Held) -> None:
+    def _replace_in_force(self, held: HeldVersion) -> None:
         self.in_force = held
         if self.staged is not None and self.staged.version.number <= held.version.number:
             self.staged = None
 
-    def _check_push(self, push: messages.ConfigPush) -> Held | None:
+    def _check_push(self, push: messages.ConfigPush) -> HeldVersion | None:
         """Verify and decode a push; record the findings if it is refused."""
         bases = [held.tree for held in (self.in_force, self.staged) if held]
         try:
@@ -184,13 +184,13 @@
             return None
         self.wants_whole = False
         try:
-            return Held(tree, decode_config(tree, self._find_reusable(push)))
+            return HeldVersion(tree, decode_config(tree, self._find_reusable(push)))
         except FindingsError as exc:
-            self.findings = [record_finding(finding) for finding in exc.findings]
+            self.findings = [make_finding_record(finding) for finding in exc.findings]
         self.refused = Version(push.version, push.digest)
         return None
 
-    def _find_reusable(self, push: messages.ConfigPush) -> Held | None:
+    def _find_reusable(self, push: messages.ConfigPush) -> HeldVersion | None:
         """Return the held version whose decoded configuration can be reused: the push's base, or the one in force."""
         for held in (self.in_force, self.staged):
             if held is not None and held.version.digest == push.base_digest:
@@ -198,7 +198,7 @@
         return self.in_force
 
 
-def record_finding(finding: Finding) -> messages.FindingRecord:
+def make_finding_record(finding: Finding) -> messages.FindingRecord:
     """Convert a finding and its location to a message; nothing is recorded."""
     place = finding.place
     return messages.FindingRecord(
--- a/packages/lanedock/lanedock/rollout/state.py
+++ b/packages/lanedock/lanedock/rollout/state.py
@@ -131,7 +131,7 @@
         kept = [number for number in self.kept_versions() if self.records[number].digest == push.base_digest]
         return ConfigTree.from_push(push, [self.tree(number) for number in kept])
 
-    def judge(self, version: Version, base: int | None = None) -> SubmitResult:
+    def evaluate_submission(self, version: Version, base: int | None = None) -> SubmitResult:
         """Return the result that a submission of a version would have now.
 
         Parameters
@@ -191,7 +191,7 @@
 
     def _submit(self, command: messages.SubmitCommand) -> SubmitResult:
         base = command.base_version if command.has_base else None
-        result = self.judge(Version(command.version, command.digest), base)
+        result = self.evaluate_submission(Version(command.version, command.digest), base)
         if result.verdict is not Verdict.STAGING:
             return result
         if command.base_digest:
@@ -301,7 +301,7 @@
     if base is None:
         message.content = tree.pack()
         return
-    push = tree.delta_push(set(tree.digests), base, set(base.digests))
+    push = tree.make_delta_push(set(tree.digests), base, set(base.digests))
     message.content = b""
     message.delta = push.groups
     message.base_digest = push.base_digest
--- a/packages/lanedock/lanedock/rollout/tests/test_distribution.py
+++ b/packages/lanedock/lanedock/rollout/tests/test_distribution.py
@@ -6,7 +6,7 @@
 import pytest
 
 from lanedock.config import Version
-from lanedock.rollout import Child, Distributor, VersionHolder, VersionSource
+from lanedock.rollout import Distributor, Subscriber, VersionHolder, VersionSource
 from lanedock.rollout.tests.test_rollout import make_tree
 from lanedock.wire import messages
 
@@ -18,7 +18,7 @@
         self.holder = VersionHolder()
         self.name = name
         self.service = service
-        self.child: Child | None = None
+        self.child: Subscriber | None = None
         self.source: Distributor | None = None
         self.inbox: list[messages.ControlMessage] = []
         self.newest = 0
@@ -46,7 +46,7 @@
         self.source.update(self.child, self.state())
 
     def pull(self) -> None:
-        self.inbox += self.source.due(self.child)
+        self.inbox += self.source.due_messages(self.child)
 
     def take(self, message: messages.ControlMessage) -> None:
         holder = self.holder
@@ -66,7 +66,7 @@
 
 def _source(accepted=None, candidate=None, bases=()):
     distributor = Distributor()
-    distributor.set_source(VersionSource(accepted, candidate, {tree.version.digest: tree for tree in bases}))
+    distributor.set_versions(VersionSource(accepted, candidate, {tree.version.digest: tree for tree in bases}))
     return distributor
 
 
@@ -85,11 +85,11 @@
     _exchange_messages(daemon)
     assert daemon.holder.staged_version == make_tree(1).version
     assert daemon.holder.in_force is None
-    source.set_source(VersionSource(make_tree(1)))
+    source.set_versions(VersionSource(make_tree(1)))
     daemon.report()
-    (message,) = source.due(daemon.child)
+    (message,) = source.due_messages(daemon.child)
     assert message.HasField("activate")
-    assert source.due(daemon.child) == []
+    assert source.due_messages(daemon.child) == []
     daemon.take(message)
     assert daemon.holder.in_force_version == make_tree(1).version
 
@@ -100,7 +100,7 @@
     daemon.connect(source)
     _exchange_messages(daemon)
     assert daemon.holder.staged_version.number == 2
-    source.set_source(VersionSource(make_tree(1)))
+    source.set_versions(VersionSource(make_tree(1)))
     _exchange_messages(daemon)
     assert daemon.holder.staged is None
     assert daemon.holder.in_force_version.number == 1
@@ -112,7 +112,7 @@
     _exchange_messages(daemon)
     other = _source(make_tree(3), None, [make_tree(1), make_tree(2)])
     daemon.connect(other)
-    delta = make_tree(3).delta_push({""}, make_tree(2), {""})
+    delta = make_tree(3).make_delta_push({""}, make_tree(2), {""})
     daemon.holder.put_in_force(delta)
     assert daemon.holder.wants_whole
     assert daemon.holder.refused == Version()
@@ -123,11 +123,11 @@
 
 def test_holder_is_ready_only_with_the_confirmed_version():
     holder = VersionHolder()
-    holder.put_in_force(make_tree(1).whole_push({"", "s", "t"}))
+    holder.put_in_force(make_tree(1).make_full_push({"", "s", "t"}))
     assert not holder.is_ready
     holder.confirm_floor(2)
     assert not holder.is_ready
-    holder.put_in_force(make_tree(2).whole_push({"", "s", "t"}))
+    holder.put_in_force(make_tree(2).make_full_push({"", "s", "t"}))
     assert holder.is_ready
     holder.suspend()
     assert not holder.is_ready
@@ -139,7 +139,7 @@
     for name, service in [("a", "s"), ("b", "s"), ("c", "t"), ("d", "")]:
         daemon = Daemon(name, service)
         daemon.connect(source)
-        pushes += source.due(daemon.child)
+        pushes += source.due_messages(daemon.child)
     assert pushes[0] is pushes[1]
     assert len({id(push) for push in pushes}) == 3
 
@@ -149,13 +149,13 @@
     daemons = [Daemon(name, "s") for name in "ab"]
     for daemon in daemons:
         daemon.connect(source)
-    assert {state.daemon for state in source.take_report(True).changed} == {"a", "b"}
+    assert {state.daemon for state in source.make_report(True).changed} == {"a", "b"}
     relayed = messages.FleetReport(whole=True)
     relayed.changed.add(daemon="x")
-    source.take_relayed(daemons[0].child, relayed)
-    assert [state.daemon for state in source.take_report(False).changed] == ["x"]
+    source.process_relay_report(daemons[0].child, relayed)
+    assert [state.daemon for state in source.make_report(False).changed] == ["x"]
     source.disconnect(daemons[0].child)
-    assert sorted(source.take_report(False).gone) == ["a", "x"]
+    assert sorted(source.make_report(False).gone) == ["a", "x"]
     assert not source.is_report_due()
 
 
@@ -181,7 +181,7 @@
             newest = source_versions[number]
             candidate = trees.get(newest + 1) if rng.random() < 0.7 else None
             bases = {trees[base].version.digest: trees[base] for base in range(max(1, newest - 2), newest + 1)}
-            sources[number].set_source(VersionSource(trees[newest], candidate, bases))
+            sources[number].set_versions(VersionSource(trees[newest], candidate, bases))
         elif action < 0.32:
             daemon.connect(rng.choice(sources))
         elif action < 0.5:
--- a/packages/lanedock/lanedock/rollout/tests/test_rollout.py
+++ b/packages/lanedock/lanedock/rollout/tests/test_rollout.py
@@ -172,7 +172,7 @@
         self.state = MeshState()
         self.view = FleetView(dead_after=1.5, silent_after=3.0)
         self.listed = [Instance(name, "z", "s", "h", 1) for name in "abc"]
-        self.view.take_list(self.listed, 0.0)
+        self.view.apply_instance_list(self.listed, 0.0)
         self.sequence = 0
         self.coordinator = RolloutCoordinator(self.state, self.view, RolloutPolicy(2.5, 1.5))
         self.report({name: {} for name in "abc"}, whole=True)
@@ -185,7 +185,7 @@
         report.gone.extend(gone)
         for attester, instance, reachable in attested:
             report.attestations.add(attester=attester, instance=instance, reachable=reachable)
-        return self.view.take_report("r@1", report, now)
+        return self.view.process_report("r@1", report, now)
 
     def stage(self, names: str, version: int, slots: int = 1):
         digest = make_tree(version, slots).version.digest
--- a/packages/lanedock/lanedock/rollout/tests/test_storms.py
+++ b/packages/lanedock/lanedock/rollout/tests/test_storms.py
@@ -59,7 +59,7 @@
     """Return the longest time from acceptance to activation, and the fraction of the link that versions used."""
     distributor, holder = Distributor(), VersionHolder()
     trees = [_make_tree(number + 1) for number in range(len(CHANGE_TIMES) + 1)]
-    holder.put_in_force(trees[0].whole_push(set(trees[0].digests)))
+    holder.put_in_force(trees[0].make_full_push(set(trees[0].digests)))
     state = messages.DaemonState(daemon="d", role=messages.ROLE_ENTRY)
     version_bandwidth, link_free_at, sent = BANDWIDTH * (1 - REQUEST_FRACTION), 0.0, 0
     events, activation_delays = list(zip(CHANGE_TIMES, trees[1:], strict=True)), {}
@@ -83,10 +83,10 @@
             distributor.update(child, report())
         else:
             now, tree = events.pop(0)
-            distributor.set_source(VersionSource(tree, None, dict(bases)))
+            distributor.set_versions(VersionSource(tree, None, dict(bases)))
             bases[tree.version.digest] = tree
             activation_delays[tree.number] = -now
-        for message in distributor.due(child):
+        for message in distributor.due_messages(child):
             size = message.ByteSize()
             sent += size
             link_free_at = max(link_free_at, now) + size / version_bandwidth
@@ -119,13 +119,13 @@
     """A daemon that missed more versions than are kept gets only the newest one, in full."""
     trees = [_make_tree(number) for number in range(1, 12)]
     distributor, holder = Distributor(), VersionHolder()
-    holder.put_in_force(trees[0].whole_push(set(trees[0].digests)))
+    holder.put_in_force(trees[0].make_full_push(set(trees[0].digests)))
     state = messages.DaemonState(daemon="d", role=messages.ROLE_ENTRY, in_force_version=1)
     state.in_force_digest = trees[0].version.digest
     bases = {tree.version.digest: tree for tree in trees[-1 - kept_count : -1]}
-    distributor.set_source(VersionSource(trees[-1], None, bases))
+    distributor.set_versions(VersionSource(trees[-1], None, bases))
     child = distributor.connect(state)
-    (message,) = distributor.due(child)
+    (message,) = distributor.due_messages(child)
     assert not message.in_force.base_digest
     holder.put_in_force(message.in_force)
     assert holder.in_force_version == trees[-1].version
--- a/packages/lanedock/lanedock/routing/answer_times.py
+++ b/packages/lanedock/lanedock/routing/answer_times.py
@@ -40,7 +40,7 @@
         times = self._heads.get(kind)
         return max(_HEDGE_DELAY_MIN, times.tail) if times is not None else _HEDGE_DELAY_DEFAULT
 
-    def body_late_after(self, kind: str) -> float:
+    def body_late_delay(self, kind: str) -> float:
         """Return the time after an answer's head from which its body counts as late, in seconds."""
         times = self._bodies.get(kind)
         return times.tail if times is not None else 0.0
--- a/packages/lanedock/lanedock/routing/balancer.py
+++ b/packages/lanedock/lanedock/routing/balancer.py
@@ -14,8 +14,8 @@
 
 from lanedock.canary import Pool
 from lanedock.routing.answer_times import SMOOTHING, AnswerTimes
+from lanedock.routing.available_upstreams import AvailableUpstreams
 from lanedock.routing.policy import BalancerPolicy
-from lanedock.routing.takers import AvailableUpstreams
 from lanedock.routing.upstream_stats import UpstreamStats, is_same_application, was_restarted
 from lanedock.wire import messages
 
@@ -128,9 +128,9 @@
         """Return the time after which an answer to this kind of request counts as late, in seconds."""
         return self._times.hedge_delay(kind)
 
-    def body_late_after(self, kind: str) -> float:
+    def body_late_delay(self, kind: str) -> float:
         """Return the time after an answer's head from which its body counts as late, in seconds."""
-        return self._times.body_late_after(kind)
+        return self._times.body_late_delay(kind)
 
     def note_leaving(self, stats: UpstreamStats, is_application: bool = False) -> None:
         """Send no new requests to an upstream whose daemon has reported that it leaves.
@@ -230,7 +230,7 @@
         """Return the upstreams whose advertised rate limit, if any, permits a request now."""
         if now >= self._rate_limited_until:
             return usable
-        return [stats for stats in usable if stats.turns.is_open(now)]
+        return [stats for stats in usable if stats.send_times.is_open(now)]
 
     def _pick_less_loaded(self, usable: list[UpstreamStats], slots: int, now: float) -> UpstreamStats | None:
         if not usable:
@@ -268,7 +268,7 @@
         """Estimate the requests of other callers that an upstream has in progress."""
         if stats.reported_at is None:
             return 0.0
-        return stats.others * math.exp((stats.reported_at - now) / self._policy.load_age)
+        return stats.other_requests * math.exp((stats.reported_at - now) / self._policy.load_age)
 
     # ---------------------------------------------------------------- outcomes
 
@@ -278,7 +278,7 @@
             stats.busy_since = now
         stats.in_progress += 1
         if now is not None:
-            stats.turns.take(now)
+            stats.send_times.take(now)
 
     def end(
         self,
@@ -322,7 +322,7 @@
             Whether this request made the upstream ejected or unreachable.
         """
         if reported is not None:
-            stats.others = max(0, reported - stats.in_progress)
+            stats.other_requests = max(0, reported - stats.in_progress)
             stats.reported_at = now
         stats.in_progress -= 1
         stats.ended_at = now
@@ -344,10 +344,10 @@
             return False
         return self._eject(stats, now)
 
-    def note_turn(self, stats: UpstreamStats, wait: float, now: float) -> None:
-        """Record when an upstream's advertised rate limit permits the next request; see `Turns.note`."""
-        stats.turns.note(wait, now)
-        self._rate_limited_until = max(self._rate_limited_until, stats.turns.limited_until)
+    def add_send_time(self, stats: UpstreamStats, wait: float, now: float) -> None:
+        """Record when an upstream's advertised rate limit permits the next request; see `SendTimes.note`."""
+        stats.send_times.note(wait, now)
+        self._rate_limited_until = max(self._rate_limited_until, stats.send_times.limited_until)
 
     def note_probe(self, stats: UpstreamStats, is_reached: bool) -> None:
         """Record whether a probe could connect to an unreachable upstream."""
@@ -376,4 +376,4 @@
 
 def _select_first_permitted(usable: list[UpstreamStats]) -> UpstreamStats | None:
     """Return the upstream whose advertised rate limit permits a request first."""
-    return min(usable, key=lambda stats: stats.turns.next_at(), default=None)
+    return min(usable, key=lambda stats: stats.send_times.next_at(), default=None)
--- a/packages/lanedock/lanedock/routing/turns.py
+++ b/packages/lanedock/lanedock/routing/send_times.py
@@ -1,20 +1,20 @@
 # SPDX-License-Identifier: BSD-3-Clause
 """Times at which a caller may send requests to an upstream that limits their rate."""
 
-__all__ = ["Turns"]
+__all__ = ["SendTimes"]
 
-# Seconds after the last turn at which the limit expires. The answer that announces its end may
+# Seconds after the last send time at which the limit expires. The answer that announces its end may
 # have been lost, and nothing else would end it.
 _LIMIT_EXPIRY = 1.0
-# Upper bound of stored turns; a caller never has more requests in progress at one upstream.
-_MAX_TURNS = 64
+# Upper bound of stored send times; a caller never has more requests in progress at one upstream.
+_MAX_SEND_TIMES = 64
 
 
-class Turns:
-    """Turns that an upstream's daemon has assigned to one caller.
+class SendTimes:
+    """Send times that an upstream's daemon has assigned to one caller.
 
-    A turn is a time from which the caller may send one request. Each answer carries either
-    a turn or the information that the upstream does not limit the rate. Does no I/O and reads
+    A send time is a time from which the caller may send one request. Each answer carries either
+    a send time or the information that the upstream does not limit the rate. Does no I/O and reads
     no clock.
 
     Attributes
@@ -31,7 +31,7 @@
         self.limited_until = float("-inf")
 
     def __repr__(self) -> str:
-        return f"<Turns {len(self._times)}>"
+        return f"<SendTimes {len(self._times)}>"
 
     def is_open(self, now: float) -> bool:
         """Return whether a request may be sent now."""
@@ -42,17 +42,17 @@
         return self._times[0] if self._times else self.limited_until
 
     def take(self, now: float) -> None:
-        """Use up the first turn for a request that is sent."""
+        """Use up the first send time for a request that is sent."""
         if self._times and now < self.limited_until:
             del self._times[0]
 
     def note(self, wait: float, now: float) -> None:
-        """Add the turn that an answer carries.
+        """Add the send time that an answer carries.
 
         Parameters
         ----------
         wait : float
-            Seconds from `now` until the turn; 0 if the upstream does not limit the rate.
+            Seconds from `now` until the send time; 0 if the upstream does not limit the rate.
         now : float
             Monotonic time, in seconds.
         """
@@ -61,6 +61,6 @@
             self.limited_until = float("-inf")
             return
         self.limited_until = max(self.limited_until, now + wait + _LIMIT_EXPIRY)
-        if len(self._times) < _MAX_TURNS:
+        if len(self._times) < _MAX_SEND_TIMES:
             self._times.append(now + wait)
             self._times.sort()
--- a/packages/lanedock/lanedock/routing/tests/test_balancer.py
+++ b/packages/lanedock/lanedock/routing/tests/test_balancer.py
@@ -220,12 +220,12 @@
 def test_body_times_do_not_count_as_answer_times():
     balancer = _balancer(_endpoint("a"))
     stats = balancer.choose(12, 0.0)
-    before = balancer.body_late_after("read")
+    before = balancer.body_late_delay("read")
     for _ in range(50):
         balancer.begin(stats, 0.0)
         balancer.end(stats, False, 1.1, taken=0.1, kind="read", body_taken=1.0)
-    assert before == balancer.body_late_after("write") == 0.0
-    assert balancer.body_late_after("read") >= 1.0
+    assert before == balancer.body_late_delay("write") == 0.0
+    assert balancer.body_late_delay("read") >= 1.0
     assert balancer.hedge_delay("read") < 1.0
     assert stats.slowness == pytest.approx(1.0)
 
--- a/packages/lanedock/lanedock/routing/tests/test_turns.py
+++ b/packages/lanedock/lanedock/routing/tests/test_send_times.py
@@ -1,10 +1,10 @@
 # SPDX-License-Identifier: BSD-3-Clause
-"""Tests of the turns at upstreams that limit their rate, and of upstreams that leave."""
+"""Tests of the send times at upstreams that limit their rate, and of upstreams that leave."""
 
 from random import Random
 
 from lanedock.routing import Balancer, BalancerPolicy
-from lanedock.routing.turns import Turns
+from lanedock.routing.send_times import SendTimes
 from lanedock.wire import messages
 
 
@@ -28,40 +28,40 @@
     return next(stats for stats in iter(lambda: balancer.choose(4, now), None) if stats.endpoint.instance == name)
 
 
-def test_each_turn_permits_one_request():
-    turns = Turns()
-    turns.note(0.5, 0.0)
-    turns.note(1.0, 0.0)
-    assert not turns.is_open(0.4)
-    assert turns.is_open(0.5)
-    turns.take(0.5)
-    assert not turns.is_open(0.9)
-    assert turns.is_open(1.0)
+def test_each_send_time_permits_one_request():
+    send_times = SendTimes()
+    send_times.note(0.5, 0.0)
+    send_times.note(1.0, 0.0)
+    assert not send_times.is_open(0.4)
+    assert send_times.is_open(0.5)
+    send_times.take(0.5)
+    assert not send_times.is_open(0.9)
+    assert send_times.is_open(1.0)
 
 
-def test_the_limit_ends_with_an_answer_without_a_turn_or_after_its_expiry():
-    turns = Turns()
-    turns.note(5.0, 0.0)
-    turns.note(0.0, 0.1)
-    assert turns.is_open(0.1)
-    turns.note(0.5, 1.0)
-    turns.take(1.6)
-    assert not turns.is_open(1.6)
-    assert turns.is_open(2.6)
+def test_the_limit_ends_with_an_answer_without_a_send_time_or_after_its_expiry():
+    send_times = SendTimes()
+    send_times.note(5.0, 0.0)
+    send_times.note(0.0, 0.1)
+    assert send_times.is_open(0.1)
+    send_times.note(0.5, 1.0)
+    send_times.take(1.6)
+    assert not send_times.is_open(1.6)
+    assert send_times.is_open(2.6)
 
 
 def test_a_caller_uses_other_upstreams_until_its_turn():
     balancer = _make("u0", "u1")
     limited = _find(balancer, "u0")
-    balancer.note_turn(limited, 1.0, 0.0)
+    balancer.add_send_time(limited, 1.0, 0.0)
     assert _chosen(balancer, 0.5) == {"u1"}
     assert _chosen(balancer, 1.0) == {"u0", "u1"}
 
 
-def test_if_no_upstream_permits_a_request_the_one_with_the_earliest_turn_is_chosen():
+def test_if_no_upstream_permits_a_request_the_one_with_the_earliest_send_time_is_chosen():
     balancer = _make("u0", "u1")
-    balancer.note_turn(_find(balancer, "u0"), 1.0, 0.0)
-    balancer.note_turn(_find(balancer, "u1", 0.0), 0.5, 0.0)
+    balancer.add_send_time(_find(balancer, "u0"), 1.0, 0.0)
+    balancer.add_send_time(_find(balancer, "u1", 0.0), 0.5, 0.0)
     assert _chosen(balancer, 0.1) == {"u1"}
     assert _chosen(balancer, 0.1, may_wait=False) == set()
 
--- a/packages/lanedock/lanedock/routing/upstream_stats.py
+++ b/packages/lanedock/lanedock/routing/upstream_stats.py
@@ -3,7 +3,7 @@
 
 from lanedock.canary import Pool
 from lanedock.membership import incarnation_of
-from lanedock.routing.turns import Turns
+from lanedock.routing.send_times import SendTimes
 from lanedock.wire import messages
 
 __all__ = ["UpstreamStats", "is_same_application", "was_restarted"]
@@ -27,7 +27,7 @@
         Pool of its service's traffic that it serves.
     in_progress : int
         This caller's requests in progress at this upstream.
-    others : int
+    other_requests : int
         Other callers' requests in progress, as its daemon last reported them.
     slowness : float
         Ratio of its answer times to those of all upstreams; 1 on average.
@@ -39,7 +39,7 @@
         Probes that have failed since it became unreachable.
     is_application_leaving : bool
         Whether its application has reported that it leaves. Later reports don't revoke this.
-    turns : Turns
+    send_times : SendTimes
         Times at which requests may be sent, if it limits their rate.
     """
 
@@ -58,11 +58,11 @@
         "is_application_leaving",
         "is_on_trial",
         "is_unreachable",
-        "others",
+        "other_requests",
         "pool",
         "reported_at",
+        "send_times",
         "slowness",
-        "turns",
     )
 
     def __init__(self, endpoint: messages.Endpoint, cold_since: float | None, cold_duration: float):
@@ -70,7 +70,7 @@
         self.pool = Pool.STABLE
         self.cold_duration = cold_duration
         self.in_progress = 0
-        self.others = 0
+        self.other_requests = 0
         self.reported_at: float | None = None
         self.failures = 0
         self.ejections = 0
@@ -84,10 +84,10 @@
         self.ended_at = 0.0
         self.slowness = 1.0
         self.is_application_leaving = False
-        self.turns = Turns()
+        self.send_times = SendTimes()
 
     def __repr__(self) -> str:
-        return f"<UpstreamStats {self.endpoint.instance} in_progress={self.in_progress} others={self.others}>"
+        return f"<UpstreamStats {self.endpoint.instance} in_progress={self.in_progress} others={self.other_requests}>"
 
     def silence(self, now: float) -> float:
         """Return for how long it has requests in progress and has answered none, in seconds."""
@@ -119,4 +119,4 @@
 
 def is_same_application(former: messages.Endpoint, endpoint: messages.Endpoint) -> bool:
     """Return whether both endpoints may belong to the same run of an application."""
-    return bool(endpoint.upstream) and incarnation_of(former).may_be(incarnation_of(endpoint))
+    return bool(endpoint.upstream) and incarnation_of(former).may_equal(incarnation_of(endpoint))
--- a/packages/lanedock/lanedock/settings/load.py
+++ b/packages/lanedock/lanedock/settings/load.py
@@ -38,13 +38,13 @@
 )
 
 
-def load_settings(path: str, is_made: bool = False) -> Settings:
+def load_settings(path: str, is_generated: bool = False) -> Settings:
     """Read and validate a settings file.
 
     Parameters
     ----------
     path : str
-    is_made : bool
+    is_generated : bool
         Whether a program made the file from validated values. The schema is then
         checked only if the file can't be used, because the schema library takes
         a third of a second to load on a small instance.
@@ -60,7 +60,7 @@
     """
     document = read_document(path)
     schema = load_schema("lanedock.settings", "schema.json")
-    if is_made:
+    if is_generated:
         try:
             return _build(document.value, schema)
         except (KeyError, TypeError, ValueError, AttributeError):
--- a/tools/bench_canary.py
+++ b/tools/bench_canary.py
@@ -272,7 +272,7 @@
             daemon = self.rng.choice(self.daemons)
             route = self.rng.choices(ROUTES, ROUTE_WEIGHTS)[0]
             rule = daemon.split.rule(SERVICE)
-            is_chosen = daemon.split.take(SERVICE) and members[Pool.CANARY]
+            is_chosen = daemon.split.assign_request(SERVICE) and members[Pool.CANARY]
             is_completed = rule is not None and not rule.canary and "v1" in rule.withheld
             is_canary = bool(is_chosen) or is_completed
             self.outcome.total += 1
--- a/tools/bench_changes.py
+++ b/tools/bench_changes.py
@@ -13,8 +13,8 @@
 import time
 from pathlib import Path
 
-from lanedock.config import ConfigTree, check_value, decode_config
-from lanedock.rollout import Held, MeshState, fill_content
+from lanedock.config import ConfigTree, check_generated_config, decode_config
+from lanedock.rollout import HeldVersion, MeshState, fill_content
 from lanedock.routing import RouteTable
 from lanedock.wire import messages
 
@@ -77,12 +77,12 @@
 
 def _measure(size: int, change: int) -> dict:
     routes = _make_routes(size + change)
-    base = check_value(_make_value(1, routes[:size]), "bench")
+    base = check_generated_config(_make_value(1, routes[:size]), "bench")
     value = _make_value(2, routes)
-    tree = check_value(value, "bench")
-    held = Held(base, decode_config(base))
+    tree = check_generated_config(value, "bench")
+    held = HeldVersion(base, decode_config(base))
     table = RouteTable(held.config)
-    push = tree.delta_push(set(tree.digests), base, set(base.digests))
+    push = tree.make_delta_push(set(tree.digests), base, set(base.digests))
     command = messages.Command()
     command.submit.version = tree.number
     command.submit.digest = tree.version.digest
@@ -97,8 +97,8 @@
         "delta_bytes": len(push.SerializeToString()),
         "whole_bytes": len(tree.pack()),
         "entry_bytes": len(command.SerializeToString()),
-        "check_ms": _measure_ms(lambda: check_value(value, "bench")),
-        "delta_ms": _measure_ms(lambda: tree.delta_push(set(tree.digests), base, set(base.digests))),
+        "check_ms": _measure_ms(lambda: check_generated_config(value, "bench")),
+        "delta_ms": _measure_ms(lambda: tree.make_delta_push(set(tree.digests), base, set(base.digests))),
         "apply_ms": min(_measure_apply_ms(state, command) for _ in range(ROUNDS)),
         "verify_ms": _measure_ms(lambda: ConfigTree.from_push(push, [base])),
         "decode_ms": _measure_ms(lambda: decode_config(received, held)),
--- a/tools/bench_overload.py
+++ b/tools/bench_overload.py
@@ -220,7 +220,7 @@
             self.mesh.at(self.hop, self._refused, self._return_after())
 
     def _return_after(self) -> float:
-        return self.upstream.limiter.return_after(self.wanted, self.mesh.now)
+        return self.upstream.limiter.retry_delay(self.wanted, self.mesh.now)
 
     def _work(self) -> None:
         self.slot_at = self.mesh.now
--- a/tools/bench_rate_limit.py
+++ b/tools/bench_rate_limit.py
@@ -68,7 +68,7 @@
     """Enforces the rate at the upstream's daemon, which tells callers their next turns."""
 
     def note_answer(self, stats, limiter: SlotLimiter, now: float) -> None:
-        stats.caller.balancer.note_turn(stats, limiter.next_turn(now), now)
+        stats.caller.balancer.add_send_time(stats, limiter.next_send_delay(now), now)
 
 
 class CallerEnforcement(Enforcement):
@@ -218,7 +218,7 @@
     def __init__(self, stats, caller: Caller):
         self.caller = caller
         self.endpoint = stats.endpoint
-        self.turns = stats.turns
+        self.send_times = stats.send_times
 
 
 class Attempt:
