--- a/packages/lanedock/lanedock/errors.py
+++ b/packages/lanedock/lanedock/errors.py
@@ -18,12 +18,12 @@
     """
 
     FILE_UNREADABLE = ("LD1001", "The file cannot be read.", "Check the path and its permissions.")
-    NOT_JSON = ("LD1002", "The text is not valid JSON with comments.", "Correct the syntax at the position given.")
-    DUPLICATE_KEY = ("LD1003", "An object has a duplicate key.", "Remove one of the duplicates.")
-    SCHEMA = ("LD1004", "A value does not match the schema.", "Compare it with the published schema.")
+    NOT_JSON = ("LD1002", "The text is not JSON with comments.", "Correct the syntax at the position given.")
+    DUPLICATE_KEY = ("LD1003", "A key stands twice in one object.", "Remove one of the duplicates.")
+    SCHEMA = ("LD1004", "A value does not fit the schema.", "Compare it with the published schema.")
     UNKNOWN_SERVICE = (
         "LD1005",
-        "A route, or the `calls` of a service, names a service that the file does not define.",
+        "A route or call names a service that the file does not describe.",
         "Define the service, or remove the reference.",
     )
     UNKNOWN_ZONE = (
@@ -36,126 +36,125 @@
         "A route names a traffic class that the file does not list.",
         "Add the class to `traffic_classes`, or name one that is listed.",
     )
-    DUPLICATE_NAME = ("LD1008", "Two items of a list have the same name.", "Rename one of them.")
+    DUPLICATE_NAME = ("LD1008", "Two items of one list share a name.", "Rename one of them.")
     SHADOWED_ROUTE = (
         "LD1009",
-        "A route matches the same host, path and method as another route.",
+        "A route matches exactly what another one matches already.",
         "Remove one of the two routes, or give them different hosts, paths or methods.",
     )
     SHARES_EXCEED_ONE = (
         "LD1010",
-        "The guaranteed shares of the traffic classes sum to more than 1.",
+        "The guaranteed shares of the traffic classes add up to more than 1.",
         "Lower the shares.",
     )
-    NO_WEIGHT = ("LD1012", "The weights of a split sum to 0.", "Set at least one weight above 0.")
+    NO_WEIGHT = ("LD1012", "The weights of a split add up to nothing.", "Set at least one weight above 0.")
     DIGEST_MISMATCH = (
         "LD1011",
-        "The content of a configuration does not match its digest.",
+        "A configuration's content does not match its digest.",
         "None: the daemon discards the content and requests it again.",
     )
 
     VERSION_STALE = (
         "LD2001",
-        "The version number is not above the accepted one. The submission was not run.",
+        "The version number is not above the accepted one. Not run.",
         "Raise the version number above the accepted one and submit again.",
     )
     VERSION_CONFLICT = (
         "LD2002",
-        "Different content was submitted under this version number. The submission was not run.",
+        "Another content was submitted under this version number. Not run.",
         "Compare with `lanedock history`, choose a new version number and submit again.",
     )
     SUBMISSION_BUSY = (
         "LD2003",
-        "Another version is being staged. The submission was not run.",
+        "Another version is being staged. Not run.",
         "Wait until its outcome is known, then submit again.",
     )
     STAGING_REFUSED = (
         "LD2004",
-        "A daemon refused the version, so the version was aborted on all daemons. The submission was not run.",
+        "A daemon refused the version; it was aborted everywhere. Not run.",
         "Correct the findings, choose a new version number and submit again.",
     )
     STAGING_TIMEOUT = (
         "LD2005",
-        "Not every daemon staged the version before the time-out, so the version was aborted on all daemons. "
-        "The submission was not run.",
+        "Not every daemon staged the version in time; it was aborted everywhere. Not run.",
         "Check the daemons named with `lanedock status`, then submit a new version.",
     )
     OUTCOME_NOT_KNOWN = (
         "LD2006",
-        "The outcome of the submission is not known yet.",
+        "The outcome is not known yet.",
         "Submit the same file again: the answer is that of the first submission.",
     )
     NOT_LEADER = (
         "LD2007",
-        "This control instance is not the leader.",
+        "This control instance does not lead.",
         "None: the command line finds the leader and repeats the call there.",
     )
     NO_LEADER = (
         "LD2008",
-        "No reachable control instance is the leader.",
+        "No control instance that could be reached leads.",
         "Check that a majority of the control instances is running and that they can reach each other.",
     )
     IN_FORCE_LATE = (
         "LD2009",
-        "The version is committed but not yet in force on every daemon.",
+        "The version is accepted for good but not yet in force on every daemon.",
         "Watch `lanedock status`, or submit the same file again to continue waiting.",
     )
     VERSION_UNKNOWN = (
         "LD2010",
-        "No known version has this number.",
+        "No version of that number is known.",
         "List the versions with `lanedock history`.",
     )
 
     BASE_OUTDATED = (
         "LD2011",
-        "The submitted version is not based on the accepted version. The submission was not run.",
+        "The version was made from another one than the accepted one. Not run.",
         "Read the accepted version, repeat the change on it, and submit again.",
     )
 
     CANARY_RUNS = (
         "LD2012",
-        "Another canary release of the service is in progress. The order was not run.",
+        "Another canary release of the service runs. Not run.",
         "Wait until it ends, or abort it with `lanedock canary abort`.",
     )
     CANARY_NOT_NEW = (
         "LD2013",
-        "The version is already the stable version of the service. The order was not run.",
+        "The version is the service's stable one already. Not run.",
         "Name a different version.",
     )
     CANARY_UNKNOWN = (
         "LD2014",
-        "The service has no canary release to which the order applies.",
+        "The service has no canary release to which this applies.",
         "List the canary releases with `lanedock canary status`.",
     )
     SERVICE_UNKNOWN = (
         "LD2015",
-        "The version in force does not define the service. The order was not run.",
+        "The version in force has no such service. Not run.",
         "Check the name, or apply a configuration that defines the service.",
     )
 
     NO_ROUTE = ("LD3001", "No route of the version in force matches the request.", "Check the request and the routes.")
     NO_UPSTREAM = (
         "LD3002",
-        "No upstream of the service can accept the request.",
+        "No upstream of the service can take the request.",
         "Retry after the time given; check the service's upstreams.",
     )
     NOT_READY = (
         "LD3003",
-        "The daemon does not have a confirmed configuration yet.",
+        "The daemon does not hold a confirmed configuration yet.",
         "Retry after the time given, at another instance if there is one.",
     )
-    DRAINING = ("LD3004", "The instance is draining and accepts no new requests.", "Retry at another instance.")
-    OVERLOADED = ("LD3005", "The limit on concurrent requests is reached.", "Retry after the time given.")
+    DRAINING = ("LD3004", "The instance is leaving and takes no new work.", "Retry at another instance.")
+    OVERLOADED = ("LD3005", "The limit on requests in progress is reached.", "Retry after the time given.")
     DEADLINE = ("LD3006", "The request's deadline has passed.", "Retry with a longer deadline.")
-    CONNECT_FAILED = ("LD3007", "A connection to the upstream could not be established.", "Retry after the time given.")
+    CONNECT_FAILED = ("LD3007", "No connection to the upstream could be made.", "Retry after the time given.")
     ANSWER_LOST = (
         "LD3008",
-        "The connection to the upstream was lost after the request was sent; the request may have run.",
+        "The connection broke after the request was sent; it may have run.",
         "Find out whether the request ran before you send it again.",
     )
     ANSWER_TIMEOUT = (
         "LD3009",
-        "The upstream did not answer before the deadline; the request may have run.",
+        "No answer came before the deadline; the request may have run.",
         "Find out whether the request ran before you send it again.",
     )
     UPSTREAM_REFUSED = (
@@ -163,32 +162,32 @@
         "The upstream's application refused the request and did not run it.",
         "Retry after the time given.",
     )
-    BODY_TOO_LONG = ("LD3013", "The request body exceeds the limit of the version in force.", "Send a shorter body.")
-    BAD_REQUEST = ("LD3010", "The request is malformed and was not forwarded.", "Correct the request.")
+    BODY_TOO_LONG = ("LD3013", "The request's body is longer than the version in force allows.", "Send a shorter body.")
+    BAD_REQUEST = ("LD3010", "The request is malformed and was not passed on.", "Correct the request.")
     QUARANTINED = (
         "LD3014",
-        "The request is quarantined because upstreams crashed while they ran it. The request was not run.",
+        "Upstreams have ended while they ran this request, so it is not passed on. Not run.",
         "Find out what in the request makes upstreams crash; `REQUEST_QUARANTINED` names the upstreams.",
     )
     UPSTREAM_CRASHED = (
         "LD3015",
-        "The upstream's application crashed while it ran the request.",
+        "The upstream's application ended while it ran the request.",
         "Find out whether the request ran before you send it again.",
     )
     RATE_LIMITED = (
         "LD3016",
-        "The rate limit that the upstream advertises, in requests per second, is reached. The request was not run.",
+        "The upstream takes no more requests a second than it gets, by the rate limit that it advertises. Not run.",
         "Retry after the time given; E415 and the status name the limit.",
     )
     NOT_HELD = (
         "LD3011",
-        "The daemon's version does not include the service that the request names.",
+        "The daemon's version does not hold the service that the request names.",
         "Retry; if the error persists, compare `lanedock status` of both instances.",
     )
 
     LOG_CORRUPT = (
         "LD4001",
-        "The replicated log contains a record with a wrong checksum.",
+        "The replicated log holds a record that fails its checksum.",
         "Replace the control instance: its disk is not reliable.",
     )
     DISK_FAILED = (
@@ -209,13 +208,13 @@
     )
     PLATFORM_UNREADABLE = (
         "LD5002",
-        "The platform's list of instances cannot be read; the last list that was read stays in use.",
+        "The platform's list of instances cannot be read; the last one stays in use.",
         "Check the address or file of the list.",
     )
-    SERVICE_MISSING = ("LD5003", "A kernel service was requested that is not registered.", "Report it: this is a bug.")
+    SERVICE_MISSING = ("LD5003", "A service of the kernel is asked for but not there.", "Report it: this is a bug.")
     NOT_AUTHENTIC = (
         "LD5004",
-        "The certificate files for mutual TLS cannot be used.",
+        "The files for mutual TLS cannot be used.",
         "Check `tls` in the settings and the files named there.",
     )
 
--- a/packages/lanedock/lanedock/telemetry/metrics.py
+++ b/packages/lanedock/lanedock/telemetry/metrics.py
@@ -19,64 +19,64 @@
 class Metric(Enum):
     """A metric with its name, kind (c counter, ms timer, g gauge), meaning and labels."""
 
-    REQUESTS = ("requests", "c", "Requests received.")
-    OUTCOMES = ("requests.outcomes", "c", "Requests by outcome.", ("route", "outcome"))
-    TRIES = ("requests.tries", "c", "Tries by outcome.", ("service", "outcome"))
+    REQUESTS = ("requests", "c", "Requests taken.")
+    OUTCOMES = ("requests.outcomes", "c", "Requests by how they ended.", ("route", "outcome"))
+    TRIES = ("requests.tries", "c", "Tries by how they ended.", ("service", "outcome"))
     REFUSALS = ("requests.refusals", "c", "Requests that an upstream's daemon refused, by code.", ("code",))
-    RETRY_BUDGET = ("requests.retry_budget", "g", "Retries left in the budget of a service.", ("service",))
+    RETRY_BUDGET = ("requests.retry_budget", "g", "Retries that may still be made towards a service.", ("service",))
     NOT_RUN = ("requests.not_run", "c", "Requests answered `not-run`.")
     UNKNOWN = ("requests.unknown", "c", "Requests answered `unknown`.")
     RETRIES = ("requests.retries", "c", "Tries after the first.")
-    LATENCY = ("requests.latency", "ms", "Time from the request to the head of its answer.")
+    LATENCY = ("requests.latency", "ms", "Time from request to answer's head.")
     IN_PROGRESS = ("requests.in_progress", "g", "Requests in progress.")
     QUEUED = ("requests.queued", "g", "Requests waiting for a slot.")
-    BODY_BYTES = ("requests.body_bytes", "g", "Bytes of admitted request bodies that have not arrived yet.")
+    BODY_BYTES = ("requests.body_bytes", "g", "Bytes of bodies that were let in and have not come yet.")
     VERSION = ("config.version", "g", "Number of the version in force.")
     CONTROL_BYTES = ("config.bytes", "c", "Bytes of versions and endpoints sent to daemons.")
     TRAFFIC = (
         "control.bytes",
         "c",
-        "Bytes sent by a control instance, by purpose and by reach: near, or far (to another zone).",
+        "Bytes sent by a control instance: what they carry, and near or far (to another zone).",
         ("purpose", "reach"),
     )
-    CHILDREN = ("config.children", "g", "Daemons that receive versions from this process.")
+    CHILDREN = ("config.children", "g", "Daemons that take versions from here.")
     CONVERGENCE = (
         "config.convergence",
         "ms",
-        "Time from the acceptance of a version until it is in force on every daemon.",
+        "From acceptance to in force everywhere.",
     )
-    DROPPED = ("config.dropped", "c", "Outdated version messages that were ignored.")
-    TERM = ("log.term", "g", "Term of the replicated log.")
+    DROPPED = ("config.dropped", "c", "Outdated version messages that changed nothing.")
+    TERM = ("log.term", "g", "The replicated log's term.")
     COMMIT = ("log.commit", "g", "Index of the newest committed entry.")
     SYNC = ("log.sync", "ms", "Time to sync the log to disk.")
-    SOURCE_AGE = ("config.source_age", "g", "Seconds since the last message from the daemon's source.")
-    STALENESS = ("config.staleness", "g", "Seconds since the source last heard from the leader, as the source reports.")
+    SOURCE_AGE = ("config.source_age", "g", "Seconds since the daemon's source was last heard.")
+    STALENESS = ("config.staleness", "g", "Seconds since the source has heard from the leader, as it says.")
     BEHIND = (
         "config.behind",
         "g",
-        "Seconds for which a version has been known to be in force elsewhere but not on this daemon.",
+        "Seconds for which a version is known to be in force elsewhere and isn't here.",
     )
-    ENDPOINTS = ("config.endpoints", "g", "Known upstreams, by zone.", ("zone",))
-    CRASHES = ("upstream.crashes", "c", "Crashes of the local application.")
-    QUARANTINED = ("requests.quarantined", "g", "Requests that are not forwarded because they crash upstreams.")
+    ENDPOINTS = ("config.endpoints", "g", "Upstreams known, by zone.", ("zone",))
+    CRASHES = ("upstream.crashes", "c", "Times that the application beside the daemon has ended without notice.")
+    QUARANTINED = ("requests.quarantined", "g", "Requests that are not passed on since they end upstreams.")
     RATE_LIMIT = (
         "upstream.rate_limit",
         "g",
-        "Rate limit that the local application advertises, in requests per second, if any.",
+        "Requests a second that the application advertises as its limit, if it does.",
     )
-    IS_RATE_LIMITED = ("upstream.is_rate_limited", "g", "1 if the local application advertises a rate limit, else 0.")
-    PASSED_ON = ("upstream.passed_on", "c", "Requests that were forwarded to the local application.")
+    IS_RATE_LIMITED = ("upstream.is_rate_limited", "g", "1 where the application advertises a rate limit, else 0.")
+    PASSED_ON = ("upstream.passed_on", "c", "Requests that were passed on to the application.")
     CANARY_SHARE = ("canary.share", "g", "Share of a service's requests that its canary gets, 0 to 1.", ("service",))
     CANARY_SENT = (
         "canary.sent",
         "c",
-        "Requests sent during a canary release, by part (stable, canary or withheld).",
+        "Requests sent while a canary runs, by part.",
         ("service", "part"),
     )
     CANARY_FAILED = (
         "canary.failed",
         "c",
-        "Failed answers during a canary release, by part (stable, canary or withheld).",
+        "Answers that failed while a canary runs, by part.",
         ("service", "part"),
     )
     EJECTED = ("config.ejected", "c", "Ejections of upstreams.")
